--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -14,7 +14,8 @@
 const FOLDER = "target/soak";
 const PROGRAM = `${FOLDER}/cactusrack-node.cjs`;
 const USAGE =
-    "usage: npm run soak -- [--seed N] [--runs N] [--nodes N] [--workers N] [--callers N] [--seconds N] [--gap-ms N] [--short]";
+    "usage: npm run soak -- [--seed N] [--runs N] [--nodes N] [--workers N] [--callers N] [--seconds N] [--gap-ms N] [--short] " +
+    "[--other-program FILE]";
 /** Seeds of plans and of scenes must not be the same stream. */
 const PLAN_SEED_OFFSET = 1_000_003;
 
@@ -28,9 +29,11 @@
         seconds: { type: "string", default: "15" },
         "gap-ms": { type: "string", default: "500" },
         short: { type: "boolean", default: false },
+        // Another build of the program, for every second node.
+        "other-program": { type: "string" },
     },
 });
-const { short, ...numbers } = values;
+const { short, "other-program": otherProgram, ...numbers } = values;
 const figures = Object.values(numbers).map(Number);
 if (figures.some(figure => !Number.isInteger(figure) || figure < 1)) {
     console.error(USAGE);
@@ -55,7 +58,7 @@
     const folder = `${FOLDER}/seed-${seed}`;
     rmSync(folder, { recursive: true, force: true });
     const { nodes, workers, callers, lengthMs, gapMs } = size;
-    const scene = await openScene({ seed, nodes, workers, folder, program: PROGRAM });
+    const scene = await openScene({ seed, nodes, workers, folder, program: PROGRAM, otherProgram });
     const task = short ?
         { faults: SHORT_PLAN, lengthMs: SHORT_LENGTH_MS, callers } :
         {
@@ -82,8 +85,9 @@
     verdict.violations.forEach(message => console.log(`  ${message}`));
     const flags = Object.entries(numbers).filter(([name]) => name !== "seed" && name !== "runs")
         .map(([name, value]) => `--${name} ${value}`).join(" ");
+    const mix = otherProgram === undefined ? "" : ` --other-program ${otherProgram}`;
     console.log(
-        `  logs in ${folder}; again: npm run soak -- --seed ${seed} ${flags}${short ? " --short" : ""}`,
+        `  logs in ${folder}; again: npm run soak -- --seed ${seed} ${flags}${short ? " --short" : ""}${mix}`,
     );
     return false;
 }
--- a/bench/soak/scene.ts
+++ b/bench/soak/scene.ts
@@ -22,6 +22,8 @@
     readonly folder: string;
     /** The nodes' program. */
     readonly program: string;
+    /** Program of nodes with even numbers, such as an earlier build; the same program if left out. */
+    readonly otherProgram?: string;
 }
 
 /** A scene that has to be closed. */
@@ -84,7 +86,7 @@
 }
 
 async function openNode(
-    { folder, program }: SceneOptions,
+    { folder, program, otherProgram = program }: SceneOptions,
     platform: StandInPlatform,
     number: number,
 ): Promise<SoakNode> {
@@ -99,7 +101,7 @@
     });
     const process = new NodeProcess({
         name,
-        program,
+        program: number % 2 === 0 ? otherProgram : program,
         environment: { CACTUSRACK_NODE_FILE: settingsPath },
         logPath: `${folder}/${name}.log`,
     });
