--- a/src/process/dispatch/urgency.ts
+++ b/src/process/dispatch/urgency.ts
@@ -1,7 +1,7 @@
 /** In which order waiting steps get room. */
 import type { Millis } from "../../common/clock.js";
 import type { QueueConfig } from "../../version/cluster-config.js";
-import { computeChainFromMs, computeChainMs } from "../jobs/job-spec.js";
+import { computeCriticalPathFromMs, computeCriticalPathMs } from "../jobs/job-spec.js";
 import type { StepSpec } from "../jobs/job-spec.js";
 import type { Step } from "../jobs/job.js";
 
@@ -33,7 +33,7 @@
     queue: QueueConfig,
     predictMs: (estimateMs: Millis) => Millis,
 ): Millis {
-    return queue.stretch * computeChainMs(steps, predictMs) + queue.targetMs;
+    return queue.stretch * computeCriticalPathMs(steps, predictMs) + queue.targetMs;
 }
 
 /**
@@ -59,7 +59,7 @@
     const specs = step.occurrence.steps.map(other => other.spec);
     const objective = estimateObjectiveMs(specs, queue, predictMs);
     const dueAt = begin + objective;
-    const endAt = wallNow + computeChainFromMs(specs, step.number, predictMs);
+    const endAt = wallNow + computeCriticalPathFromMs(specs, step.number, predictMs);
     const slackMs = dueAt - endAt;
     if (slackMs >= 0) {
         return { step, queue, isRepair, lateness: 0, dueAt, slackMs };
--- a/src/process/jobs/adoptions.ts
+++ b/src/process/jobs/adoptions.ts
@@ -1,33 +1,33 @@
-/** Which leader adopted each worker last. */
+/** Tracks which leader adopted each worker last. */
 
 /** The last adoption of a worker. */
 export interface Adoption {
-    /** Of the leader that adopted it. */
+    /** Epoch of the leader that adopted it. */
     readonly epoch: number;
-    /** The worker's; undefined where only an earlier version has told of it. */
+    /** Address of the worker; undefined if only events of earlier versions mention the worker. */
     readonly address: string | undefined;
 }
 
-/** The adoptions. */
+/** The last adoption of each worker. */
 export class Adoptions {
     private readonly adoptions = new Map<string, Adoption>();
 
-    /** Returns the last adoption of a worker; undefined where that is not known. */
+    /** Returns the last adoption of a worker; undefined if unknown. */
     get(workerId: string): Adoption | undefined {
         return this.adoptions.get(workerId);
     }
 
-    /** Lists the adoptions of some workers. */
+    /** Lists the known adoptions of the given workers. */
     list(workerIds: ReadonlySet<string>): readonly (readonly [string, Adoption])[] {
         return [...this.adoptions].filter(([workerId]) => workerIds.has(workerId));
     }
 
-    /** Takes in an adoption; an address that it leaves out stays as it was. */
+    /** Records an adoption; without an address, the one known before is kept. */
     record(workerId: string, epoch: number, address: string | undefined): void {
         this.adoptions.set(workerId, { epoch, address: address ?? this.adoptions.get(workerId)?.address });
     }
 
-    /** Drops the adoptions of all other workers. */
+    /** Drops the adoptions of all workers except the given ones. */
     dropOthers(workerIds: ReadonlySet<string>): void {
         for (const workerId of [...this.adoptions.keys()]) {
             if (!workerIds.has(workerId)) {
--- a/src/process/jobs/build-job.ts
+++ b/src/process/jobs/build-job.ts
@@ -1,4 +1,4 @@
-/** Builds the state of jobs and of their occurrences. */
+/** Builds the initial state of jobs and of their occurrences. */
 import { JobPhase } from "./job-events.js";
 import type { JobAccepted } from "./job-events.js";
 import { formatStepName, formatTaskName } from "./job-spec.js";
@@ -6,10 +6,7 @@
 import { TaskState } from "./job.js";
 import type { Job, Occurrence, Task } from "./job.js";
 
-/**
- * Builds the state of a job that was just accepted, without occurrences.
- * @param event - Its acceptance.
- */
+/** Builds the state of a job that has just been accepted, without occurrences. */
 export function buildJob(event: JobAccepted): Job {
     return {
         id: event.jobId,
@@ -25,7 +22,7 @@
     };
 }
 
-/** Builds one occurrence with all its tasks waiting. */
+/** Builds one occurrence of a job, with all its tasks waiting. */
 export function buildOccurrence(job: Job, spec: JobSpec, number: number): Occurrence {
     const { repeat } = spec;
     const dueAt = repeat === undefined ? 0 : repeat.firstRunAt + number * repeat.intervalMs;
--- a/src/process/jobs/job-events.ts
+++ b/src/process/jobs/job-events.ts
@@ -1,38 +1,42 @@
-/** The durable events of jobs. Applying them in order rebuilds the state, so a new leader starts from them. */
+/** The durable events of jobs. A new leader rebuilds the state of all jobs by applying them in order. */
 import type { QueueConfig } from "../../version/cluster-config.js";
 import type { JobSpec } from "./job-spec.js";
 
-/** How a run ended, or that it never began. */
+/** How a run ended, or that it never started. */
 export const RunEnd = {
-    /** The task is done for good. */
+    /** The task is done and will not run again. */
     done: "done",
-    /** It failed, by its own fault or its worker's. It counts as an attempt. */
+    /**
+     * The run failed, through its own fault or its worker's. It counts towards the queue's limit of attempts.
+     */
     failed: "failed",
-    /** It was stopped by an order. */
+    /** The run was stopped by an order of the leader. */
     stopped: "stopped",
-    /** Its worker's lease ran out. */
+    /** The lease of its worker expired. */
     lapsed: "lapsed",
-    /** Another member of its gang ended. */
+    /** Another member of its gang ended, so this one was stopped. */
     broken: "broken",
-    /** It waited in vain for the other members of its gang. */
+    /** The other members of its gang did not start in time. */
     alone: "alone",
-    /** It surely never began. */
+    /** The run certainly never started. */
     notRun: "notRun",
-    /** Its worker is gone, or was silent until its lease had surely run out. */
+    /** Its worker is gone, or did not answer until its lease had certainly expired. */
     lost: "lost",
 } as const;
 export type RunEnd = (typeof RunEnd)[keyof typeof RunEnd];
 
-/** What is known of a worker that was lost with a run. */
+/** What is known about a worker that was lost while it had a run. */
 export const LossKind = {
-    /** It was silent until its lease had surely run out: it may be cut off. */
+    /**
+     * It did not answer until its lease had certainly expired: it may only be partitioned from the leader.
+     */
     suspected: "suspected",
-    /** It crashed. */
+    /** It certainly crashed. */
     crashed: "crashed",
 } as const;
 export type LossKind = (typeof LossKind)[keyof typeof LossKind];
 
-/** State of a job as callers see it. */
+/** State of a job as shown to callers. */
 export const JobPhase = {
     queued: "queued",
     running: "running",
@@ -42,7 +46,7 @@
 } as const;
 export type JobPhase = (typeof JobPhase)[keyof typeof JobPhase];
 
-/** A job was handed in. */
+/** A job was submitted and accepted. */
 export interface JobAccepted {
     readonly type: "accepted";
     readonly jobId: string;
@@ -52,33 +56,33 @@
     readonly at: number;
 }
 
-/** A run was given to a worker. It is durable before the worker is told. */
+/** A run was assigned to a worker. The event is durable before the order is sent to the worker. */
 export interface RunAssigned {
     readonly type: "assigned";
     readonly task: string;
-    /** Rises with each run of the task. */
+    /** Increases with each run of the task. */
     readonly run: number;
     readonly workerId: string;
     /**
-     * The leader's, which has adopted the worker. Snapshots leave out adoptions of idle workers, so it is said again here;
-     * not in events of earlier versions.
+     * Epoch of the leader, which has adopted the worker. Repeated here because snapshots leave out the
+     * adoptions of idle workers. Absent from events of earlier versions.
      */
     readonly epoch?: number;
-    /** The worker's; set where no adoption that is kept says it. */
+    /** Address of the worker; set only if no stored adoption contains it. */
     readonly address?: string;
 }
 
-/** A run ended. It is durable before the worker is told that the end was seen. */
+/** A run ended. The event is durable before the end is acknowledged to the worker. */
 export interface RunEnded {
     readonly type: "ended";
     readonly task: string;
     readonly run: number;
     readonly end: RunEnd;
-    /** Last checkpoint that is known; empty if there is none. */
+    /** Last known checkpoint; empty if there is none. */
     readonly checkpoint: string;
-    /** Set where the run's worker was lost with it; not in events of earlier versions. */
+    /** Set if the run's worker was lost with it. Absent from events of earlier versions. */
     readonly loss?: LossKind;
-    /** Whether the run had just started when its worker was lost. */
+    /** Whether the run had only just started when its worker was lost. */
     readonly isEarlyLoss?: boolean;
 }
 
@@ -97,49 +101,56 @@
     readonly at: number;
 }
 
-/** An ended job is no longer kept. */
+/** An ended job was removed from the state. */
 export interface JobForgotten {
     readonly type: "forgotten";
     readonly jobId: string;
 }
 
-/** A leader is about to extend leases on a worker for the first time. It is durable before it does. */
+/**
+ * A leader is about to extend leases on a worker for the first time. The event is durable before it does so.
+ */
 export interface WorkerAdopted {
     readonly type: "adopted";
     readonly workerId: string;
-    /** The leader's. */
+    /** Epoch of the leader. */
     readonly epoch: number;
-    /** The worker's, where a later life of it will answer; not in events of earlier versions. */
+    /**
+     * Address of the worker, at which a later incarnation of it will answer. Absent from events of earlier
+     * versions.
+     */
     readonly address?: string;
 }
 
-/** A worker that was lost with runs is known to have crashed: another life answers at its address. */
+/** A worker that was lost with runs certainly crashed: another incarnation answers at its address. */
 export interface WorkerCrashed {
     readonly type: "workerCrashed";
     readonly workerId: string;
 }
 
-/** A worker that seemed lost with runs goes on: it was cut off. */
+/** A worker that was counted as lost with runs is alive: it had only been partitioned from the leader. */
 export interface WorkerSurvived {
     readonly type: "workerSurvived";
     readonly workerId: string;
 }
 
-/** A task has run for so long that its earlier losses say nothing about it. */
+/** A task has run for so long that its earlier losses are no evidence against it. */
 export interface TaskCleared {
     readonly type: "taskCleared";
     readonly task: string;
 }
 
-/** The settings that a queue's jobs follow from now on, also when a later configuration drops it. */
+/** The settings that apply to a queue's jobs from now on, even if a later configuration removes the queue. */
 export interface QueueConfigured {
     readonly type: "queueConfigured";
-    /** Version of the configuration that they are from. */
+    /** Version of the configuration that contains the settings. */
     readonly version: number;
     readonly queue: QueueConfig;
 }
 
-/** A queue that was dropped has no open jobs any more: its settings are no longer kept. */
+/**
+ * A queue that was removed from the configuration has no open jobs left: its settings are no longer stored.
+ */
 export interface QueueForgotten {
     readonly type: "queueForgotten";
     readonly name: string;
--- a/src/process/jobs/job-book.ts
+++ b/src/process/jobs/job-registry.ts
@@ -1,6 +1,7 @@
 /**
- * All jobs of the cluster, as the durable events make them. A leader applies each event as it decides it and
- * lets its effects out only once the event is durable; a new leader applies what it finds in the store.
+ * The state of all jobs of the cluster, derived from the durable events. A leader applies each event when it
+ * decides it, but performs the event's side effects only once the event is durable. A new leader applies the
+ * events that it reads from the store.
  */
 import { Adoptions } from "./adoptions.js";
 import { buildJob, buildOccurrence } from "./build-job.js";
@@ -19,15 +20,15 @@
 import type { Job, Step, Task } from "./job.js";
 import { LossIndex } from "./worker-losses.js";
 
-/** A task with the step that it belongs to. */
+/** A task and its step. */
 export interface FoundTask {
     readonly step: Step;
     readonly task: Task;
 }
 
 /**
- * Tells whether an end of a run changes its task: while the task is assigned to that run, or if the run was called lost,
- * is said to be done after all, and no later one was assigned.
+ * Returns whether the end of a run changes its task: either the task is still assigned to that run, or the
+ * run had been declared lost, is now reported as done after all, and no later run was assigned.
  */
 export function isEffectiveEnd({ step, task }: FoundTask, run: number, end: RunEnd): boolean {
     if (task.run !== run) {
@@ -38,34 +39,36 @@
     return task.state === TaskState.assigned || isDoneAfterAll;
 }
 
-/** The jobs; see the module comment. */
-export class JobBook {
+/** Holds all jobs and applies events to them. */
+export class JobRegistry {
     private readonly jobs = new Map<string, Job>();
-    /** Jobs that have not ended, so that passes need not look at the others. */
+    /** Jobs that have not ended, indexed so that planning passes skip the ended ones. */
     private readonly open = new Map<string, Job>();
-    /** Who adopted which worker. Changed only by events. */
+    /** Which leader adopted which worker. Changed only by events. */
     readonly adoptions = new Adoptions();
-    /** Workers that were lost with runs of tasks. Changed only by events. */
+    /** Workers that were lost while they ran tasks. Changed only by events. */
     readonly losses = new LossIndex();
-    /** Settings that jobs of a queue follow when no configuration in force has it. */
+    /**
+     * Settings of each queue, used for its jobs if the configuration in force no longer contains the queue.
+     */
     private readonly queues = new Map<string, QueueConfigured>();
 
-    /** Returns the settings that a queue had last; undefined where they are not known. */
+    /** Returns the last settings of a queue; undefined if unknown. */
     getQueue(name: string): QueueConfigured | undefined {
         return this.queues.get(name);
     }
 
-    /** Lists the settings of queues that are kept. */
+    /** Lists the stored settings of queues. */
     listQueues(): Iterable<QueueConfigured> {
         return this.queues.values();
     }
 
-    /** Lists the names of queues with open jobs. */
+    /** Lists the names of the queues with open jobs. */
     listOpenQueues(): ReadonlySet<string> {
         return new Set([...this.open.values()].map(job => job.queue));
     }
 
-    /** Lists the workers that have assigned tasks, or were lost with tasks that are not done. */
+    /** Lists the workers that have assigned tasks or were lost with tasks that are not yet done. */
     listConcernedWorkers(): ReadonlySet<string> {
         const workers = new Set<string>(this.losses.listWorkers());
         for (const { task: { workerId } } of this.listAssigned()) {
@@ -96,7 +99,7 @@
         return this.open.values();
     }
 
-    /** Lists all jobs that are kept. */
+    /** Lists all jobs, including ended ones that were not yet forgotten. */
     listAll(): Iterable<Job> {
         return this.jobs.values();
     }
@@ -106,7 +109,7 @@
         return this.open.size;
     }
 
-    /** Finds a task by the name that workers know it by. */
+    /** Finds a task by its name in orders and reports; see {@link parseTaskName}. */
     findTask(name: string): FoundTask | undefined {
         const ref = parseTaskName(name);
         const step = ref && this.jobs.get(ref.jobId)?.occurrences.get(ref.occurrence)?.steps[ref.step];
@@ -114,7 +117,7 @@
         return step === undefined || task === undefined ? undefined : { step, task };
     }
 
-    /** Lists the steps of open jobs with something to start. */
+    /** Lists the steps of open jobs that have a task or a gang to start. */
     *listRunnable(): Iterable<Step> {
         for (const step of this.listOpenSteps()) {
             if (step.waiting > 0 && isStepRunnable(step)) {
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Counts a queue's jobs of which nothing has started. */
+    /** Counts a queue's open jobs of which no run was ever assigned. */
     countPending(queue: string): number {
         let count = 0;
         for (const job of this.open.values()) {
@@ -135,9 +138,9 @@
     }
 
     /**
-     * Opens the occurrences that are due. Not an event: it follows from the job and the time.
-     * @param job - A job that repeats.
-     * @param wallNow - Wall-clock time.
+     * Opens the occurrences that are due. This needs no event, since it is determined by the job and the
+     * time.
+     * @param wallNow - Wall-clock time in milliseconds since 1970.
      */
     openDueOccurrences(job: Job, wallNow: number): void {
         const repeat = job.spec?.repeat;
@@ -150,7 +153,7 @@
         }
     }
 
-    /** Applies one event. Events that no longer fit the state have no effect. */
+    /** Applies one event. Events that do not match the current state have no effect. */
     apply(event: JobEvent): void {
         switch (event.type) {
             case "accepted":
@@ -185,7 +188,7 @@
         }
     }
 
-    /** Puts back a job that a snapshot holds. */
+    /** Restores a job from a snapshot. */
     restore(job: Job): void {
         this.jobs.set(job.id, job);
         if (job.endedAt === 0) {
@@ -193,7 +196,10 @@
         }
     }
 
-    /** Drops a job whose acceptance was never made durable; what was planned for it finds no work any more. */
+    /**
+     * Drops a job whose acceptance never became durable, and empties it so that plans that refer to it find
+     * no work.
+     */
     dropUncommitted(jobId: string): void {
         const job = this.jobs.get(jobId);
         if (job !== undefined) {
@@ -233,7 +239,7 @@
         if (found === undefined || found.task.state !== TaskState.waiting) {
             return;
         }
-        // A member of a gang whose start failed joins the others in the same run, on another worker.
+        // A gang member that could not be started joins the others in the same run, on another worker.
         const lowestRun = found.step.spec.isGang ? found.task.run : found.task.run + 1;
         if (event.run < lowestRun) {
             return;
@@ -281,7 +287,7 @@
         }
     }
 
-    /** Marks tasks as done: all members at once when one member of a gang says so. */
+    /** Marks tasks as done. For a gang, the caller passes all members as soon as one of them is done. */
     private finishTasks(step: Step, tasks: readonly Task[]): void {
         for (const task of tasks) {
             if (task.state === TaskState.done) {
@@ -341,7 +347,7 @@
     }
 }
 
-/** Tells whether every occurrence of a job is done. */
+/** Returns whether every occurrence of a job is done. */
 export function isJobDone(job: Job): boolean {
     const total = job.spec?.repeat?.count ?? 1;
     return job.nextOccurrence >= total && job.occurrences.size === 0;
--- a/src/process/jobs/job-spec.ts
+++ b/src/process/jobs/job-spec.ts
@@ -1,35 +1,35 @@
-/** What a caller hands in: a job of steps, each of equal tasks. */
+/** The specification of a job as submitted: steps, each of identical tasks. */
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
 
 /** One step of a job. */
 export interface StepSpec {
     readonly taskCount: number;
-    /** What each task takes of its worker. */
+    /** Resources that each task uses on its worker. */
     readonly demand: Resources;
-    /** The caller's rough estimate of one task's run time. */
+    /** The caller's rough estimate of the run time of one task. */
     readonly estimateMs: Millis;
-    /** Earlier steps whose tasks must all be done first. */
+    /** Numbers of earlier steps whose tasks must all be done first. */
     readonly after: readonly number[];
-    /** Whether tasks save checkpoints that a later run can go on from. */
+    /** Whether tasks save checkpoints from which a later run can resume. */
     readonly savesCheckpoints: boolean;
-    /** Whether the tasks work only while all of them run. */
+    /** Whether the tasks make progress only while all of them run. */
     readonly isGang: boolean;
     /** Whether the tasks are much slower when they run on more than one rack. */
     readonly prefersOneRack: boolean;
-    /** Label that a worker must have. */
+    /** Label that a worker must have to run the tasks. */
     readonly requiredLabel: string | undefined;
-    /** Rack where the step's data is. */
+    /** Rack that holds the step's data. */
     readonly dataRack: string | undefined;
-    /** Most tasks of the step on one worker. */
+    /** Maximum number of the step's tasks on one worker. */
     readonly maxPerWorker: number | undefined;
     /** Whether the tasks run until the job is cancelled. */
     readonly isLongRunning: boolean;
-    /** Whether the tasks live on processor time that others leave unused. */
+    /** Whether the tasks use only processor time that other tasks leave unused. */
     readonly fillsSpareCpu: boolean;
 }
 
-/** When the steps of a job run again. */
+/** Schedule of a job whose steps run repeatedly. */
 export interface RepeatSpec {
     readonly count: number;
     /** Wall-clock time of the first occurrence, in milliseconds since 1970. */
@@ -37,9 +37,9 @@
     readonly intervalMs: Millis;
 }
 
-/** A job as it was handed in. */
+/** A job as submitted. */
 export interface JobSpec {
-    /** Text that is passed to each run. */
+    /** Opaque text that is passed to each run. */
     readonly payload: string;
     readonly steps: readonly StepSpec[];
     readonly repeat: RepeatSpec | undefined;
@@ -53,19 +53,19 @@
     readonly index: number;
 }
 
-/** Formats the name that workers know a task by. */
+/** Formats the name of a task in orders to workers and in their reports. */
 export function formatTaskName(ref: TaskRef): string {
     return `${ref.jobId}.${ref.occurrence}.${ref.step}.${ref.index}`;
 }
 
-/** Formats the name that the advice service knows a step by. */
+/** Formats the name of a step in requests to the advice service. */
 export function formatStepName(ref: Omit<TaskRef, "index">): string {
     return `${ref.jobId}.${ref.occurrence}.${ref.step}`;
 }
 
 /**
- * Parses a task's name.
- * @returns Undefined where the text is none.
+ * Parses the name of a task.
+ * @returns Undefined if the text is not the name of a task.
  */
 export function parseTaskName(name: string): TaskRef | undefined {
     const match = TASK_NAME_PATTERN.exec(name);
@@ -79,11 +79,11 @@
 const TASK_NAME_PATTERN = /^([^.]+)\.(\d{1,9})\.(\d{1,9})\.(\d{1,9})$/;
 
 /**
- * Computes the longest chain of a job's steps.
- * @param steps - The steps; `after` names earlier ones only.
- * @param predictMs - What to expect of a caller's estimate.
+ * Computes the length of the critical path through a job's steps.
+ * @param steps - All steps of the job; `after` refers to earlier steps only.
+ * @param predictMs - Converts a caller's estimate to the expected run time.
  */
-export function computeChainMs(
+export function computeCriticalPathMs(
     steps: readonly StepSpec[],
     predictMs: (estimateMs: Millis) => Millis,
 ): Millis {
@@ -96,12 +96,13 @@
 }
 
 /**
- * Computes the longest chain that begins with a step and goes on with those that wait for it.
- * @param steps - The steps; `after` names earlier ones only.
- * @param first - Number of the step.
- * @param predictMs - What to expect of a caller's estimate.
+ * Computes the length of the critical path that starts with a step and continues with the steps that depend
+ * on it.
+ * @param steps - All steps of the job; `after` refers to earlier steps only.
+ * @param first - Number of the step at which the path starts.
+ * @param predictMs - Converts a caller's estimate to the expected run time.
  */
-export function computeChainFromMs(
+export function computeCriticalPathFromMs(
     steps: readonly StepSpec[],
     first: number,
     predictMs: (estimateMs: Millis) => Millis,
--- a/src/process/jobs/job.ts
+++ b/src/process/jobs/job.ts
@@ -1,4 +1,4 @@
-/** The state of one job: occurrences, steps and tasks. Changed only through {@link JobBook}. */
+/** The state of one job: occurrences, steps and tasks. Only {@link JobRegistry} changes it. */
 import type { JobPhase } from "./job-events.js";
 import type { JobSpec, StepSpec } from "./job-spec.js";
 import type { WorkerLoss } from "./worker-losses.js";
@@ -6,28 +6,30 @@
 /** State of a task. */
 export const TaskState = {
     waiting: "waiting",
-    /** Given to a worker; whether it runs there yet, the worker's session knows. */
+    /** Assigned to a worker; the worker's session tracks whether it already runs there. */
     assigned: "assigned",
     done: "done",
 } as const;
 export type TaskState = (typeof TaskState)[keyof typeof TaskState];
 
-/** One task. */
+/** One task of a step. */
 export interface Task {
     readonly index: number;
-    /** Name that workers know it by. */
+    /** Name of the task in orders to workers and in their reports. */
     readonly name: string;
     state: TaskState;
-    /** Number of its last run; 0 before the first. */
+    /** Number of the latest run; 0 before the first. */
     run: number;
-    /** Failed runs; of a gang the step counts them. */
+    /** Number of failed runs; for a gang, {@link Step.failures} counts them instead. */
     failures: number;
     workerId: string | undefined;
-    /** Where the next run goes on from; empty for the beginning. */
+    /** Checkpoint from which the next run resumes; empty to start from the beginning. */
     checkpoint: string;
-    /** Workers that a run failed on: another one is tried first. */
+    /** Workers on which a run failed; other workers are tried first. */
     readonly failedOn: Set<string>;
-    /** Workers that were lost with a run of it, oldest first; none once a run has gone on for long. */
+    /**
+     * Workers that were lost with a run of the task, oldest first. Cleared once a run has lasted long enough.
+     */
     losses: WorkerLoss[];
 }
 
@@ -36,19 +38,19 @@
     readonly job: Job;
     readonly occurrence: Occurrence;
     readonly number: number;
-    /** Name that the advice service knows it by. */
+    /** Name of the step in requests to the advice service. */
     readonly name: string;
     readonly spec: StepSpec;
     readonly tasks: readonly Task[];
     waiting: number;
     assigned: number;
     done: number;
-    /** Failed runs of a gang, each counted once, and the last of them. */
+    /** Number of failed runs of a gang, each counted once, and the latest of them. */
     failures: number;
     lastFailedRun: number;
     /**
-     * Run of a gang that waits for members whose start failed: they may join it. Only the leader that started the run
-     * knows of it.
+     * Run of a gang that waits for members that could not be started: they may still join it. Not durable:
+     * only the leader that started the run has it.
      */
     repairRun: number | undefined;
 }
@@ -57,7 +59,7 @@
 export interface Occurrence {
     readonly number: number;
     readonly steps: Step[];
-    /** Wall-clock time before which nothing of it starts; 0 for at once. */
+    /** Wall-clock time before which none of its steps starts; 0 for immediately. */
     readonly dueAt: number;
     openSteps: number;
 }
@@ -66,31 +68,31 @@
 export interface Job {
     readonly id: string;
     readonly queue: string;
-    /** Undefined once the job has ended, of which only the end is kept, or its acceptance was withdrawn. */
+    /** Undefined once the job has ended (only its end is kept) or its acceptance was withdrawn. */
     spec: JobSpec | undefined;
     /** Wall-clock time of its acceptance. */
     readonly acceptedAt: number;
     phase: JobPhase;
-    /** Wall-clock time of its end; 0 while it goes on. */
+    /** Wall-clock time of its end; 0 while the job is open. */
     endedAt: number;
-    /** Whether callers may be told of its end: only once that is durable. */
+    /** Whether the end is durable; only then may callers be told about it. */
     isEndDurable: boolean;
-    /** Occurrences that are due and not done, by number. */
+    /** Occurrences that are due and not yet done, by number. */
     readonly occurrences: Map<number, Occurrence>;
     /** Number of the next occurrence to open. */
     nextOccurrence: number;
-    /** Whether a run was ever assigned. */
+    /** Whether any run was ever assigned. */
     hasStarted: boolean;
 }
 
-/** Lists the steps of a job's occurrences that are due and not done. */
+/** Lists the steps of a job's occurrences that are due and not yet done. */
 export function* listSteps(job: Job): Iterable<Step> {
     for (const occurrence of job.occurrences.values()) {
         yield* occurrence.steps;
     }
 }
 
-/** Tells whether all steps that a step depends on are done. */
+/** Returns whether all steps that a step depends on are done. */
 export function isStepReady(step: Step): boolean {
     return step.spec.after.every(number => {
         const earlier = step.occurrence.steps[number];
@@ -98,7 +100,7 @@
     });
 }
 
-/** Tells whether a step has a task, or a whole gang, that could be given to workers now. */
+/** Returns whether a step has a task, or a complete gang, that could be assigned to workers now. */
 export function isStepRunnable(step: Step): boolean {
     const isWholeNeeded = step.spec.isGang && step.repairRun === undefined;
     const canStart = isWholeNeeded ? step.waiting === step.tasks.length : step.waiting > 0;
--- a/src/process/jobs/snapshot.ts
+++ b/src/process/jobs/snapshot.ts
@@ -1,15 +1,15 @@
-/** Jobs as text and back: the part of the journal that a snapshot covers. */
+/** Encodes the state of all jobs for a snapshot of the journal, and decodes it. */
 import type { Adoption } from "./adoptions.js";
 import { buildJob, buildOccurrence } from "./build-job.js";
-import { JobBook } from "./job-book.js";
 import { JobPhase } from "./job-events.js";
 import type { QueueConfigured } from "./job-events.js";
+import { JobRegistry } from "./job-registry.js";
 import type { JobSpec } from "./job-spec.js";
 import { TaskState } from "./job.js";
 import type { Job, Occurrence, Step, Task } from "./job.js";
 import type { LossIndex, WorkerLoss } from "./worker-losses.js";
 
-/** A task that differs from a fresh one. */
+/** A task that differs from its initial state. */
 interface StoredTask {
     readonly index: number;
     readonly state: TaskState;
@@ -17,13 +17,13 @@
     readonly failures: number;
     readonly workerId?: string;
     readonly checkpoint: string;
-    /** Workers that a run failed on; not in snapshots of earlier versions. */
+    /** Workers on which a run failed. Absent from snapshots of earlier versions. */
     readonly failedOn?: readonly string[];
-    /** Workers that were lost with it; not in snapshots of earlier versions. */
+    /** Workers that were lost with a run of it. Absent from snapshots of earlier versions. */
     readonly losses?: readonly WorkerLoss[];
 }
 
-/** A step that differs from a fresh one. */
+/** A step that differs from its initial state. */
 interface StoredStep {
     readonly number: number;
     readonly failures: number;
@@ -54,23 +54,23 @@
     readonly endedAt: number;
 }
 
-/** Worker, epoch, and the address where it is known. */
+/** Worker, epoch of the leader that adopted it, and the worker's address if known. */
 type StoredAdoption = readonly [string, number, string?];
 
-interface StoredBook {
+interface StoredJobs {
     readonly open: readonly StoredOpenJob[];
     readonly ended: readonly StoredEndedJob[];
-    /** Workers with the epochs of the leaders that adopted them, and their addresses; not in snapshots of earlier versions. */
+    /** Absent from snapshots of earlier versions. */
     readonly adoptions?: readonly StoredAdoption[];
-    /** Settings of queues; not in snapshots of earlier versions. */
+    /** Settings of queues. Absent from snapshots of earlier versions. */
     readonly queues?: readonly QueueConfigured[];
 }
 
-/** Encodes all jobs. */
-export function encodeBook(book: JobBook): string {
+/** Encodes all jobs, the adoptions of workers that they refer to, and the settings of queues as JSON. */
+export function encodeJobs(jobs: JobRegistry): string {
     const open: StoredOpenJob[] = [];
     const ended: StoredEndedJob[] = [];
-    for (const job of book.listAll()) {
+    for (const job of jobs.listAll()) {
         const { id, queue, acceptedAt: at, phase, endedAt, spec } = job;
         if (spec === undefined) {
             ended.push({ id, queue, at, phase, endedAt });
@@ -80,31 +80,31 @@
         const { hasStarted, nextOccurrence } = job;
         open.push({ id, queue, at, spec, hasStarted, nextOccurrence, occurrences });
     }
-    const adoptions = book.adoptions.list(book.listConcernedWorkers()).map(convertAdoption);
-    const queues = [...book.listQueues()];
-    return JSON.stringify({ open, ended, adoptions, queues } satisfies StoredBook);
+    const adoptions = jobs.adoptions.list(jobs.listConcernedWorkers()).map(convertAdoption);
+    const queues = [...jobs.listQueues()];
+    return JSON.stringify({ open, ended, adoptions, queues } satisfies StoredJobs);
 }
 
 /**
- * Decodes what {@link encodeBook} made.
- * @param text - Trusted: only this program writes it, under the leader's guard.
+ * Decodes the result of {@link encodeJobs}.
+ * @param text - Not validated, since only a leader writes it, through {@link GuardedStore}.
  */
-export function decodeBook(text: string): JobBook {
-    const book = new JobBook();
-    const stored = JSON.parse(text) as StoredBook;
+export function decodeJobs(text: string): JobRegistry {
+    const jobs = new JobRegistry();
+    const stored = JSON.parse(text) as StoredJobs;
     for (const { id, queue, at, phase, endedAt } of stored.ended) {
         const spec: JobSpec = { payload: "", steps: [], repeat: undefined };
         const job = buildJob({ type: "accepted", jobId: id, queue, spec, at });
-        book.restore({ ...job, spec: undefined, phase, endedAt });
+        jobs.restore({ ...job, spec: undefined, phase, endedAt });
     }
     for (const [workerId, epoch, address] of stored.adoptions ?? []) {
-        book.apply({ type: "adopted", workerId, epoch, address });
+        jobs.apply({ type: "adopted", workerId, epoch, address });
     }
-    stored.queues?.forEach(queue => book.apply(queue));
+    stored.queues?.forEach(queue => jobs.apply(queue));
     for (const entry of stored.open) {
-        book.restore(rebuildOpenJob(entry, book.losses));
+        jobs.restore(rebuildOpenJob(entry, jobs.losses));
     }
-    return book;
+    return jobs;
 }
 
 function convertAdoption([workerId, { epoch, address }]: readonly [string, Adoption]): StoredAdoption {
@@ -162,7 +162,7 @@
 }
 
 function isChanged(task: Task): boolean {
-    // A member of a gang has the gang's checkpoint, also where it was never assigned itself.
+    // A gang member has the gang's checkpoint even if it was never assigned itself.
     return task.run > 0 || task.state !== TaskState.waiting || task.checkpoint !== "";
 }
 
--- a/src/process/jobs/worker-losses.ts
+++ b/src/process/jobs/worker-losses.ts
@@ -1,8 +1,9 @@
 /**
- * Workers that were lost while they ran a task, and what follows from that for the task.
+ * Tracks workers that were lost while they ran a task, to detect tasks that crash their workers.
  *
- * @remarks Failure guarded against: a task crashes each worker that starts it. None of its runs ends as failed, so no limit of
- * attempts is reached. Workers are also lost for other reasons, so a suspect first runs alone.
+ * @remarks If a task crashes every worker that starts it, none of its runs ends as failed, so the limit of
+ * attempts is never reached. Workers are also lost for other reasons, so a suspected task first runs in
+ * isolation.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Task } from "./job.js";
@@ -11,51 +12,63 @@
 export interface WorkerLoss {
     readonly workerId: string;
     readonly run: number;
-    /** Whether the worker surely crashed; until that is known it may be cut off and go on. */
+    /**
+     * Whether the worker certainly crashed; until that is known, it may only be partitioned and still
+     * running.
+     */
     isCrash: boolean;
-    /** Whether the run had just started, as far as its worker has told. */
+    /** Whether the run had only just started, according to the worker's last report. */
     readonly isEarly: boolean;
 }
 
-/** Losses after which a task runs alone on its worker: whoever else runs there is safe, and a further loss is its own. */
+/**
+ * Losses after which a task runs in isolation on its worker, so that it endangers no other step's tasks and a
+ * further loss can be attributed to it.
+ */
 const SUSPECT_LOSSES = 2;
-/** Losses just after the start of a run after which a task is given up, if enough of all were crashes. */
-const FINAL_EARLY_LOSSES = 3;
+/**
+ * Losses just after the start of a run after which a task is given up, if enough of all its losses were
+ * crashes.
+ */
+const GIVE_UP_EARLY_LOSSES = 3;
 /** The same for a task of a queue whose tasks have been crashing workers. */
-const FINAL_EARLY_LOSSES_OF_RISKY = 2;
-/** Losses at any time after which it is: a worker that crashes later in a run may do so for reasons of its own. */
-const FINAL_LOSSES = 5;
-/** Crashes without which no task is given up. */
-const FINAL_CRASHES = 2;
-/** A run that its worker has reported for this long has not just started. */
+const GIVE_UP_EARLY_LOSSES_IN_RISKY_QUEUE = 2;
+/**
+ * Losses at any point of a run after which a task is given up. Higher than the limit for early losses, since
+ * a worker that crashes later in a run may have other reasons.
+ */
+const GIVE_UP_LOSSES = 5;
+/** Fewest certain crashes with which a task is given up. */
+const MIN_CRASHES_TO_GIVE_UP = 2;
+/** A run that its worker has reported for at least this long no longer counts as just started. */
 export const EARLY_MS: Millis = 250;
-/** A run that has gone on for this long did not crash its worker by starting. */
+/** A run that has lasted this long is taken not to crash its worker by starting. */
 export const CLEARED_MS: Millis = 10_000;
-/** Losses after which a task pauses until more is known of them. */
-const PAUSE_LOSSES = 3;
-/** Length of the first pause; it doubles with each further loss. */
-const FIRST_PAUSE_MS: Millis = 5_000;
-const LONGEST_PAUSE_MS: Millis = 60_000;
+/** Number of losses from which a task waits before it starts again, until their causes are known. */
+const BACKOFF_LOSSES = 3;
+/** The first backoff; it doubles with each further loss. */
+const INITIAL_BACKOFF_MS: Millis = 5_000;
+const MAX_BACKOFF_MS: Millis = 60_000;
 
-/** Tells whether a task is to run on a worker that runs nothing of other steps. */
+/** Returns whether a task may run only on a worker that runs no tasks of other steps. */
 export function isSuspect({ losses }: Task): boolean {
     return losses.length >= SUSPECT_LOSSES;
 }
 
 /**
- * Tells whether a task crashes the workers that start it, as far as that can be known.
- * @param task - The task.
- * @param isOfRiskyQueue - Whether other tasks of its queue have been crashing workers, so that less has to be shown of it.
+ * Returns whether there is enough evidence that a task crashes its workers.
+ * @param isOfRiskyQueue - Whether other tasks of its queue have been crashing workers; less evidence suffices
+ * then.
  */
 export function isCrasher(task: Task, isOfRiskyQueue = false): boolean {
     const { losses } = task;
     const early = losses.filter(loss => loss.isEarly).length;
-    const finalEarly = isOfRiskyQueue ? FINAL_EARLY_LOSSES_OF_RISKY : FINAL_EARLY_LOSSES;
-    const isOften = early >= finalEarly || losses.length >= FINAL_LOSSES;
-    return isOften && countCrashes(task) >= FINAL_CRASHES;
+    const earlyLossLimit = isOfRiskyQueue ? GIVE_UP_EARLY_LOSSES_IN_RISKY_QUEUE : GIVE_UP_EARLY_LOSSES;
+    const isLimitReached = early >= earlyLossLimit || losses.length >= GIVE_UP_LOSSES;
+    return isLimitReached && countCrashes(task) >= MIN_CRASHES_TO_GIVE_UP;
 }
 
-/** Counts the workers that surely crashed with a run of a task. */
+/** Counts the workers that certainly crashed with a run of a task. */
 export function countCrashes({ losses }: Task): number {
     return losses.filter(loss => loss.isCrash).length;
 }
@@ -63,24 +76,24 @@
 /**
  * Computes how long after its last loss a task may start again.
  *
- * @remarks Failure guarded against: workers that crash come back after seconds, and only then is it known that they crashed. A
- * task that starts again at once crashes several more meanwhile.
+ * @remarks A worker is known to have crashed only when it is back, seconds later. Without a backoff, the task
+ * would crash several more workers in the meantime.
  */
-export function computeLossPause({ losses }: Task): Millis {
-    const further = losses.length - PAUSE_LOSSES;
-    return further < 0 ? 0 : Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** further);
+export function computeLossBackoff({ losses }: Task): Millis {
+    const further = losses.length - BACKOFF_LOSSES;
+    return further < 0 ? 0 : Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** further);
 }
 
-/** Finds the losses of tasks by worker. */
+/** Index of the losses of tasks by worker. */
 export class LossIndex {
     private readonly tasks = new Map<string, Set<Task>>();
 
-    /** Lists the workers that were lost with a task that is not done. */
+    /** Lists the workers that were lost with a task that is not yet done. */
     listWorkers(): Iterable<string> {
         return this.tasks.keys();
     }
 
-    /** Tells whether a worker was lost with a task that is not done. */
+    /** Returns whether a worker was lost with a task that is not yet done. */
     has(workerId: string): boolean {
         return this.tasks.has(workerId);
     }
@@ -90,7 +103,7 @@
         return [...this.tasks.get(workerId) ?? []];
     }
 
-    /** Adds a loss to a task; the same loss counts once, however often it is learnt of. */
+    /** Adds a loss to a task. Adding the same run and worker again only updates whether it was a crash. */
     add(task: Task, loss: WorkerLoss): void {
         const known = task.losses.find(({ workerId, run }) => workerId === loss.workerId && run === loss.run);
         if (known !== undefined) {
@@ -102,14 +115,14 @@
         this.tasks.set(loss.workerId, tasks.add(task));
     }
 
-    /** Takes in that a worker surely crashed. */
+    /** Marks all losses with a worker as crashes. */
     confirm(workerId: string): void {
         for (const task of this.listTasks(workerId)) {
             task.losses.filter(loss => loss.workerId === workerId).forEach(loss => loss.isCrash = true);
         }
     }
 
-    /** Takes in that a worker goes on: it was cut off. */
+    /** Removes all losses with a worker that is alive and was only partitioned from the leader. */
     withdraw(workerId: string): void {
         for (const task of this.listTasks(workerId)) {
             task.losses = task.losses.filter(loss => loss.workerId !== workerId);
@@ -117,7 +130,7 @@
         this.tasks.delete(workerId);
     }
 
-    /** Forgets all losses of a task. */
+    /** Removes all losses of a task. */
     clear(task: Task): void {
         if (task.losses.length === 0) {
             return;
--- a/src/process/journal/guarded-store.ts
+++ b/src/process/journal/guarded-store.ts
@@ -1,9 +1,10 @@
 /**
- * Writes to the store that hold only while this node leads.
+ * Writes to the store that succeed only while this node leads.
  *
- * @remarks Failure guarded against: a leader that was paused or cut off goes on writing after another has taken
- * over, and two histories mix. Every write names the revision of the leader's record as a condition; the record
- * changes with each take-over, so a write of an earlier leader is refused, also one that is carried out late.
+ * @remarks A leader that was suspended or partitioned could write on after another has taken over, and mix
+ * two histories. Every write is therefore conditional on the revision of the leader's record. The record
+ * changes with each takeover, so writes of an earlier leader are refused, even if the store executes them
+ * late.
  */
 import type { Clock, Millis } from "../../common/clock.js";
 import { sleep, waitForTimeout } from "../../common/clock.js";
@@ -19,18 +20,21 @@
 import type { Log, Metrics } from "../telemetry.js";
 import { LEADER_KEY } from "./keys.js";
 
-/** Result of a guarded write that was pursued to its end. */
+/** Result of a guarded write, after retries. */
 export type GuardedResult =
     | { readonly kind: "done"; readonly revision: number; }
-    /** Another node leads; nothing more can be written. */
+    /** Another node leads; this node can write nothing more. */
     | { readonly kind: "deposed"; }
-    /** The owner gave up while the store was away; the write may or may not stand. */
+    /**
+     * The store was closed by its owner while the result was unknown: the write may or may not have been
+     * executed.
+     */
     | { readonly kind: "abandoned"; };
 
-/** How far a try of a write is: sent, or over and surely without effect. */
-export type TryPhase = "sent" | "unwritten";
+/** State of one attempt of a write: sent, or ended certainly without effect. */
+export type AttemptPhase = "sent" | "unwritten";
 
-/** What guarded writes need. */
+/** Options of {@link GuardedStore}. */
 export interface GuardedStoreOptions {
     readonly port: StorePort;
     readonly clock: Clock;
@@ -38,88 +42,100 @@
     readonly metrics: Metrics;
     /** Revision of the leader's record that this node wrote. */
     readonly leaderRevision: number;
-    /** An instant that stands still while this process is late; the clock's where left out. */
-    readonly getAttentiveMs?: () => Millis;
+    /**
+     * Returns a monotonic time that does not advance while this process is too busy to receive answers; the
+     * clock's time by default.
+     */
+    readonly getResponsiveMs?: () => Millis;
 }
 
-/** A write to pursue. */
+/** A write that is retried until its result is known. */
 export interface GuardedWrite {
-    /** Builds what to write, for each try; after a try without a known end it must stay the same. */
+    /**
+     * Builds the write for each attempt. It must return the same after an attempt whose result is unknown.
+     */
     readonly buildWrite: () => TransactionWrite;
-    /** Builds what must hold beside the guard, for each try. */
+    /** Builds the conditions for each attempt, in addition to the leader's record. */
     readonly buildConditions: () => readonly StoreCondition[];
-    /** Whether the conditions may fail for a while because of this leader's own other writes: the write is tried again then. */
+    /**
+     * Whether the conditions may fail temporarily because of other writes of this leader, so that a refused
+     * write is retried.
+     */
     readonly mayBeOutdated?: boolean;
-    /** Whether nobody waits for it: its length says nothing of the store. */
+    /** Whether no caller waits for the write, so that it is ignored by {@link GuardedStore.getStallMs}. */
     readonly isBackground?: boolean;
-    /** Told before each try, and after each that surely had no effect. */
-    readonly observeTry?: (phase: TryPhase) => void;
+    /** Called before each attempt, and after each that certainly had no effect. */
+    readonly observeAttempt?: (phase: AttemptPhase) => void;
 }
 
 /**
- * First time after which a write without an answer is tried again beside the try under way: a lost answer costs this long,
- * and a slow store is learnt by doubling.
+ * Initial and shortest time after which an attempt without an answer is hedged by another. A lost answer
+ * costs this long; for a slow store, the delay doubles.
  */
-const SHORTEST_TIMEOUT_MS: Millis = 100;
+const MIN_HEDGE_DELAY_MS: Millis = 100;
 /**
- * Time after which the first tries of a write are given up: four answers of a slow spell. A store that was silent is back
- * at most this late. It doubles with each try that ends so: given up after the same time for ever, a write that takes
- * longer, as over a narrow link, would never end, and the leader would take the store for away.
+ * Timeout of the first attempts of a write, long enough for four answers of a store in a slow period; it
+ * bounds how late the recovery of a silent store is noticed. It doubles with each attempt that times out:
+ * with a fixed timeout, a large write over a narrow link would never succeed, and the leader would consider
+ * the store unavailable.
  */
-const TRY_LIMIT_MS: Millis = 1_000;
-const LONGEST_TRY_LIMIT_MS: Millis = 8_000;
-/** Share of a new sample in the smoothed time of answers. */
+const INITIAL_ATTEMPT_TIMEOUT_MS: Millis = 1_000;
+const MAX_ATTEMPT_TIMEOUT_MS: Millis = 8_000;
+/** Weight of a new sample in the smoothed answer time. */
 const ANSWER_GAIN = 0.25;
-/** A silence is as long as several usual answers at least. */
-const USUAL_ANSWERS = 5;
-/** Tries of one write that may be open at once. */
-const MAX_OPEN_TRIES = 3;
-/** Pause of the oldest write after a try that failed; doubles up to the longest, a sixth of a short job's slack. */
-const SHORTEST_PAUSE_MS: Millis = 25;
-const LONGEST_PAUSE_MS: Millis = 100;
-/** Longest pause of the writes behind it, which otherwise wait until the store answers anything. */
-const BEHIND_PAUSE_MS: Millis = 1_000;
+/** Fewest smoothed answer times without any answer that count as a silence of the store. */
+const MIN_SILENCE_ANSWERS = 5;
+/** Attempts of one write that may be in flight at once while the store answers nothing. */
+const MAX_OPEN_ATTEMPTS = 3;
+/**
+ * Backoff of the oldest write after a failed attempt. It doubles up to the longest, which is a sixth of the
+ * slack of a short job.
+ */
+const MIN_BACKOFF_MS: Millis = 25;
+const MAX_BACKOFF_MS: Millis = 100;
+/** Longest backoff of the later writes, which otherwise wait until the store gives any answer. */
+const LATER_WRITE_BACKOFF_MS: Millis = 1_000;
 
-interface PreparedTry {
+interface PreparedAttempt {
     readonly write: TransactionWrite;
     readonly transaction: StoreTransaction;
 }
 
-interface EndedTry {
+interface EndedAttempt {
     readonly answer: StoreAnswer<number>;
     readonly write: TransactionWrite;
 }
 
-/** A write that is being pursued. */
-interface Pursuit {
-    /** Its beginning, in attentive time. */
-    readonly since: Millis;
+/** A write whose result is not yet known. */
+interface PendingWrite {
+    /** Start of the write, in responsive time. */
+    readonly startedAt: Millis;
     readonly isBackground: boolean;
-    /** When its newest try was sent. */
-    triedAt: Millis;
+    /** Sending time of the latest attempt. */
+    lastSentAt: Millis;
 }
 
 /**
- * The store under the leader's guard.
+ * Writes to the store, conditional on this node's leadership, and retries until the result is known.
  *
- * @remarks Failure guarded against: the store is away, and all waiting records are sent to it again and again. While it answers
- * nothing only the oldest write is tried again, and any answer, also that of a lease renewal, sends the others.
+ * @remarks To avoid resending all waiting records over and over to an unavailable store, only the oldest
+ * write is retried while the store does not answer. Any answer, including that of a lease renewal, resumes
+ * the others.
  */
 export class GuardedStore {
-    private readonly timeout = new CallTimeout(SHORTEST_TIMEOUT_MS);
+    private readonly hedgeDelay = new CallTimeout(MIN_HEDGE_DELAY_MS);
     private closed = false;
-    /** Sending of the last call that was answered. */
+    /** Sending time of the last call that was answered. */
     private lastContact: Millis;
-    /** Arrival of the last answer, on the clock and in attentive time. */
+    /** Arrival time of the last answer, on the clock and in responsive time. */
     private lastAnswerAt: Millis = -Infinity;
-    private lastAnswerAttentive: Millis = -Infinity;
-    /** Smoothed time of answers. */
-    private usualAnswerMs: Millis = 0;
-    /** The writes under way, oldest first. */
-    private readonly underWay = new Set<Pursuit>();
+    private lastAnswerResponsiveMs: Millis = -Infinity;
+    /** Smoothed answer time. */
+    private smoothedAnswerMs: Millis = 0;
+    /** Writes whose result is not yet known, oldest first. */
+    private readonly pendingWrites = new Set<PendingWrite>();
     private answered = new Signal();
 
-    /** @param options - Store, clock and guard. */
     constructor(private readonly options: GuardedStoreOptions) {
         this.lastContact = options.clock.now();
     }
@@ -129,84 +145,85 @@
         return this.lastContact;
     }
 
-    /** Takes in that the store answered another call that was sent at an instant. */
+    /** Records that the store answered another call, which was sent at the given time. */
     observeContact(sentAt: Millis): void {
         this.lastContact = Math.max(this.lastContact, sentAt);
     }
 
     /**
-     * Takes in that the store has answered a call, whatever it said.
-     * @param tookMs - Time until the answer.
+     * Records that the store answered a call, whatever the answer, and resumes waiting writes.
+     * @param tookMs - Time from the call to the answer.
      */
     observeAnswer(tookMs: Millis): void {
-        this.timeout.observeAnswer(tookMs);
-        this.usualAnswerMs += (tookMs - this.usualAnswerMs) * ANSWER_GAIN;
+        this.hedgeDelay.observeAnswer(tookMs);
+        this.smoothedAnswerMs += (tookMs - this.smoothedAnswerMs) * ANSWER_GAIN;
         this.lastAnswerAt = this.options.clock.now();
-        this.lastAnswerAttentive = this.getAttentiveMs();
+        this.lastAnswerResponsiveMs = this.getResponsiveMs();
         const { answered } = this;
         this.answered = new Signal();
         answered.notify();
     }
 
     /**
-     * Returns how long the oldest write that somebody waits for has been tried, without the time for which this process was
-     * late itself; 0 while there is none.
+     * Returns for how long the oldest write that is not a background write has been pending, in responsive
+     * time; 0 if there is none.
      *
-     * @remarks Failure guarded against: a leader whose processor is full reads answers late, takes the store for away, and
-     * gives its place up to a node that is no better off.
+     * @remarks Responsive time prevents a leader on an overloaded processor, which reads answers late, from
+     * considering the store unavailable and stepping down in favour of a node that is no better off.
      */
     getStallMs(): Millis {
-        const oldest = [...this.underWay].find(pursuit => !pursuit.isBackground);
-        return oldest === undefined ? 0 : this.getAttentiveMs() - oldest.since;
+        const oldest = [...this.pendingWrites].find(pending => !pending.isBackground);
+        return oldest === undefined ? 0 : this.getResponsiveMs() - oldest.startedAt;
     }
 
     /**
-     * Returns for how long writes have waited while no call at all was answered, without the time for which this process
-     * was late itself; 0 while none waits, or for no longer than answers usually take over a link that is full. Single
-     * lost answers do not raise it, since the writes beside them are answered.
+     * Returns for how long, in responsive time, writes have been pending while no call at all was answered; 0
+     * if none is pending, or if the silence is no longer than answers can take over a congested link. Single
+     * lost answers do not count, since other writes are answered.
      */
     getSilenceMs(): Millis {
-        const [oldest] = this.underWay;
+        const [oldest] = this.pendingWrites;
         if (oldest === undefined) {
             return 0;
         }
-        const silenceMs = this.getAttentiveMs() - Math.max(oldest.since, this.lastAnswerAttentive);
-        return silenceMs > this.usualAnswerMs * USUAL_ANSWERS ? silenceMs : 0;
+        const silenceMs = this.getResponsiveMs() - Math.max(oldest.startedAt, this.lastAnswerResponsiveMs);
+        return silenceMs > this.smoothedAnswerMs * MIN_SILENCE_ANSWERS ? silenceMs : 0;
     }
 
-    /** Gives up what is under way. */
+    /** Abandons all pending writes. */
     close(): void {
         this.closed = true;
     }
 
     /**
-     * Writes a record, trying again until the end is known.
+     * Writes a record, with retries until the result is known.
      *
-     * @remarks A try whose answer was lost may have been carried out: the next one then finds the conditions
-     * changed, and what stands at the key tells whether it was ours.
-     * @param request - What to write.
+     * @remarks An attempt whose answer was lost may have been executed. The next attempt is then refused, and
+     * the value stored at the key shows whether it was this write.
      */
     async write(request: GuardedWrite): Promise<GuardedResult> {
-        const pursuit: Pursuit = {
-            since: this.getAttentiveMs(),
+        const pending: PendingWrite = {
+            startedAt: this.getResponsiveMs(),
             isBackground: request.isBackground ?? false,
-            triedAt: -Infinity,
+            lastSentAt: -Infinity,
         };
-        this.underWay.add(pursuit);
-        const result = await this.retryUntilKnown(pursuit, request);
-        this.underWay.delete(pursuit);
+        this.pendingWrites.add(pending);
+        const result = await this.retryUntilKnown(pending, request);
+        this.pendingWrites.delete(pending);
         return result;
     }
 
-    private getAttentiveMs(): Millis {
-        const { getAttentiveMs, clock } = this.options;
-        return getAttentiveMs?.() ?? clock.now();
+    private getResponsiveMs(): Millis {
+        const { getResponsiveMs: getTimeMs, clock } = this.options;
+        return getTimeMs?.() ?? clock.now();
     }
 
-    private prepareTry({ buildWrite, buildConditions, observeTry }: GuardedWrite): PreparedTry {
+    private prepareAttempt(
+        { buildWrite, buildConditions, observeAttempt: observeAttempt }: GuardedWrite,
+    ): PreparedAttempt {
         const write = buildWrite();
         const guard = { key: LEADER_KEY, revision: this.options.leaderRevision };
-        observeTry?.("sent");
+        observeAttempt?.("sent");
         return {
             write,
             transaction: { conditions: [guard, ...buildConditions()], writes: [write], removals: [] },
@@ -214,24 +231,24 @@
     }
 
     /**
-     * Tries until one try shows the end. A try without an answer is not given up when the next one begins: a store
-     * that has turned slow answers the first, and one that lost the answer answers the second.
+     * Makes attempts until one shows the result. An attempt without an answer stays open when the next is
+     * sent: if the store is slow, the first is answered, and if the answer was lost, the second is.
      */
     private async retryUntilKnown(
-        pursuit: Pursuit,
+        pending: PendingWrite,
         request: GuardedWrite,
     ): Promise<GuardedResult> {
         const { clock } = this.options;
-        const open = new Set<Promise<EndedTry>>();
-        let pause = SHORTEST_PAUSE_MS;
-        let limit = TRY_LIMIT_MS;
+        const openAttempts = new Set<Promise<EndedAttempt>>();
+        let backoff = MIN_BACKOFF_MS;
+        let timeout = INITIAL_ATTEMPT_TIMEOUT_MS;
         while (!this.closed) {
-            if (open.size === 0 || this.mayTryBeside(pursuit, open.size)) {
-                this.observeSilence(pursuit);
-                pursuit.triedAt = clock.now();
-                this.startTry(this.prepareTry(request), open, limit);
+            if (openAttempts.size === 0 || this.mayHedge(pending, openAttempts.size)) {
+                this.observeSilence(pending);
+                pending.lastSentAt = clock.now();
+                this.startAttempt(this.prepareAttempt(request), openAttempts, timeout);
             }
-            const ended = await Promise.race([...open, this.waitBesideTries(pursuit)]);
+            const ended = await Promise.race([...openAttempts, this.waitForHedge(pending)]);
             if (ended === undefined) {
                 continue;
             }
@@ -240,73 +257,76 @@
                 return result;
             }
             if (ended.answer.kind === "unavailable" || ended.answer.kind === "refused") {
-                request.observeTry?.("unwritten");
+                request.observeAttempt?.("unwritten");
             }
             else {
-                limit = Math.min(LONGEST_TRY_LIMIT_MS, limit * 2);
+                timeout = Math.min(MAX_ATTEMPT_TIMEOUT_MS, timeout * 2);
             }
-            await this.pauseAfterFailure(pursuit, pause);
-            pause = Math.min(LONGEST_PAUSE_MS, pause * 2);
+            await this.waitAfterFailure(pending, backoff);
+            backoff = Math.min(MAX_BACKOFF_MS, backoff * 2);
         }
         return { kind: "abandoned" };
     }
 
-    /** Tells whether to try once more while earlier tries are open. */
-    private mayTryBeside(pursuit: Pursuit, openTries: number): boolean {
-        const isOverdue = this.options.clock.now() - pursuit.triedAt >= this.timeout.get();
-        const mayProbe = this.isOldest(pursuit) && openTries < MAX_OPEN_TRIES;
-        return isOverdue && (this.hasAnsweredSince(pursuit) || mayProbe);
+    /** Returns whether to send another attempt while earlier ones are open. */
+    private mayHedge(pending: PendingWrite, openCount: number): boolean {
+        const isOverdue = this.options.clock.now() - pending.lastSentAt >= this.hedgeDelay.get();
+        const mayProbe = this.isOldest(pending) && openCount < MAX_OPEN_ATTEMPTS;
+        return isOverdue && (this.hasAnsweredSince(pending) || mayProbe);
     }
 
-    /** A store that has answered nothing since the last try is given more time for the next one. */
-    private observeSilence(pursuit: Pursuit): void {
-        if (pursuit.triedAt > -Infinity && !this.hasAnsweredSince(pursuit)) {
-            this.timeout.observeTimeout(this.timeout.get());
+    /** Lengthens the hedge delay if the store has answered nothing since the last attempt. */
+    private observeSilence(pending: PendingWrite): void {
+        if (pending.lastSentAt > -Infinity && !this.hasAnsweredSince(pending)) {
+            this.hedgeDelay.observeTimeout(this.hedgeDelay.get());
         }
     }
 
-    private hasAnsweredSince({ triedAt }: Pursuit): boolean {
-        return this.lastAnswerAt > triedAt;
+    private hasAnsweredSince({ lastSentAt }: PendingWrite): boolean {
+        return this.lastAnswerAt > lastSentAt;
     }
 
-    /** Waits until another try may be due: for the time of an answer, then until the store answers anything. */
-    private async waitBesideTries({ triedAt }: Pursuit): Promise<undefined> {
+    /** Waits until another attempt may be due: for the hedge delay, then until the store gives any answer. */
+    private async waitForHedge({ lastSentAt }: PendingWrite): Promise<undefined> {
         const { clock } = this.options;
-        const leftMs = triedAt + this.timeout.get() - clock.now();
+        const leftMs = lastSentAt + this.hedgeDelay.get() - clock.now();
         await Promise.race([
             this.answered.wait(),
-            waitForTimeout(clock, leftMs > 0 ? leftMs : BEHIND_PAUSE_MS),
+            waitForTimeout(clock, leftMs > 0 ? leftMs : LATER_WRITE_BACKOFF_MS),
         ]);
         return undefined;
     }
 
-    /** The oldest write tries again soon; those behind it wait until the store answers. */
-    private async pauseAfterFailure(pursuit: Pursuit, pause: Millis): Promise<void> {
+    /**
+     * Backs off after a failed attempt. Only the oldest write is retried soon; later ones wait for an answer
+     * of the store.
+     */
+    private async waitAfterFailure(pending: PendingWrite, backoff: Millis): Promise<void> {
         const { clock } = this.options;
         const { answered } = this;
-        await sleep(clock, pause);
-        if (!this.isOldest(pursuit)) {
-            await Promise.race([answered.wait(), sleep(clock, BEHIND_PAUSE_MS)]);
+        await sleep(clock, backoff);
+        if (!this.isOldest(pending)) {
+            await Promise.race([answered.wait(), sleep(clock, LATER_WRITE_BACKOFF_MS)]);
         }
     }
 
-    private isOldest(pursuit: Pursuit): boolean {
-        const [oldest] = this.underWay;
-        return oldest === pursuit;
+    private isOldest(pending: PendingWrite): boolean {
+        const [oldest] = this.pendingWrites;
+        return oldest === pending;
     }
 
-    private startTry(
-        { write, transaction }: PreparedTry,
-        open: Set<Promise<EndedTry>>,
-        limit: Millis,
+    private startAttempt(
+        { write, transaction }: PreparedAttempt,
+        openAttempts: Set<Promise<EndedAttempt>>,
+        timeout: Millis,
     ): void {
-        const attempt = this.call(() => this.options.port.transact(transaction, limit)).then(
+        const attempt = this.call(() => this.options.port.transact(transaction, timeout)).then(
             answer => {
-                open.delete(attempt);
+                openAttempts.delete(attempt);
                 return { answer, write };
             },
         );
-        open.add(attempt);
+        openAttempts.add(attempt);
     }
 
     private decideResult(
--- a/src/process/journal/journal.ts
+++ b/src/process/journal/journal.ts
@@ -1,11 +1,11 @@
 /**
- * The leader's journal: batches of events, each one record of a ring in the store, and snapshots that cover what
- * the ring overwrites.
+ * The leader's journal: records of batched events in a ring buffer in the store, and snapshots that cover
+ * what the ring overwrites.
  *
- * @remarks Events of one moment share a record (group commit), and several records may be under way at once, so that
- * a slow store delays each event by one answer and not by the answers before it. Effects of an event (answers to
- * callers, orders to workers, acknowledgements of ends) wait for its record and all before it: a record after a gap is
- * not read back.
+ * @remarks Concurrent events share a record (group commit), and several records may be in flight, so that a
+ * slow store delays each event by a single answer. The effects of an event (answers to callers, orders to
+ * workers, acknowledgements of ends) wait for its record and all earlier ones, because records after a gap
+ * are not read back.
  */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 import type { JobEvent } from "../jobs/job-events.js";
@@ -16,7 +16,7 @@
 import type { LoadedJournal } from "./load-journal.js";
 import { encodeJournalRecord, encodeSnapshotHead } from "./records.js";
 
-/** What a journal is made from. */
+/** Options of {@link Journal}. */
 export interface JournalOptions {
     readonly store: GuardedStore;
     readonly clock: Clock;
@@ -26,81 +26,84 @@
     readonly loaded: LoadedJournal;
     /** Encodes the state with all events appended so far. */
     readonly encodeState: () => string;
-    /** Returns what is added to the time between two records; nothing where left out. */
-    readonly computeExtraGap?: () => Millis;
-    /** Another node leads: nothing more will be committed. */
+    /** Returns what is added to the minimum interval between records; nothing is added by default. */
+    readonly computeExtraInterval?: () => Millis;
+    /** Called when another node leads: nothing more will be committed. */
     readonly handleDeposed: () => void;
 }
 
-/** Time between the beginnings of two records: each is a priced call, and each step of a job waits for one. */
-const RECORD_GAP_MS: Millis = 25;
-/** Time for which events of one moment are gathered when the journal is idle. */
-const GATHER_MS: Millis = 2;
-/** Records after which a snapshot begins at the latest. */
-const SNAPSHOT_EVERY = RING_SLOTS / 2;
+/** Minimum interval between records: each is a billed call, but each step of a job waits for one. */
+const MIN_RECORD_INTERVAL_MS: Millis = 25;
+/** Time for which an idle journal collects concurrent events into one record. */
+const BATCH_DELAY_MS: Millis = 2;
+/** Number of records after which a snapshot begins at the latest. */
+const SNAPSHOT_INTERVAL_RECORDS = RING_SLOTS / 2;
 /**
- * A snapshot begins once the records since the last one are this many times as long as it, and at least the least length: what a
- * new leader has to read is bounded by the state then, not by the length of the day.
+ * A snapshot begins once the records since the last one are this many times as long as it, and have at least
+ * the minimum length. This bounds what a new leader has to read by the size of the state, not by its age.
  */
-const RECORDS_TO_SNAPSHOT = 2;
-const LEAST_RECORDS_LENGTH = 131_072;
+const RECORDS_TO_SNAPSHOT_RATIO = 2;
+const MIN_RECORDS_LENGTH = 131_072;
 /**
- * Characters of one part of a snapshot: the narrowest links carry it, with its repeated tries, beside records and reports
- * within the time of a try.
+ * Characters of one part of a snapshot. Even over the narrowest link, a part and its repeated attempts can be
+ * sent alongside records and reports within the timeout of an attempt.
  */
 const SNAPSHOT_PART_LENGTH = 60_000;
-/** Events of one record. */
-const MAX_EVENTS = 256;
+/** Maximum number of events in one record. */
+const MAX_RECORD_EVENTS = 256;
 /**
- * Records under way at once, so that a store in a slow spell still takes a record every `RECORD_GAP_MS`; with one at a time
- * an acceptance, an assignment and an end would wait for each other longer than a short job's slack.
+ * Maximum number of records in flight, so that a store in a slow period still accepts a record every
+ * `MIN_RECORD_INTERVAL_MS`. With one at a time, an acceptance, an assignment and an end would wait for each
+ * other for longer than the slack of a short job.
  */
 const MAX_IN_FLIGHT = 16;
 /**
- * After this long without an answer the store counts as away, and callers are told so at once: longer than an answer takes in
- * its slow spells, and a repeated try with it.
+ * Time after which a pending write counts as stalled, so that callers are refused at once. Longer than an
+ * answer takes in slow periods of the store, including a repeated attempt.
  */
 const STALL_MS: Millis = 800;
 
-/** An appended event and what waits for it. */
+/** An appended event and its callbacks. */
 interface Entry {
     readonly event: JobEvent;
-    /** Told once the event is durable, and never if it is withdrawn. */
+    /** Called once the event is durable; never if it is withdrawn. */
     readonly handleCommitted: (() => void) | undefined;
-    /** Told once everything up to the event is durable or withdrawn. */
+    /** Called once all events up to this one are durable or withdrawn. */
     readonly waiters: (() => void)[];
-    /** Whether the next event goes into another record: a snapshot holds the state up to here. */
+    /** Whether a snapshot contains the state up to this event, so that the next goes into another record. */
     endsRecord: boolean;
 }
 
-/** A record that was sent. */
+/** A record that was sent to the store. */
 interface SentRecord {
     readonly sequence: number;
     entries: readonly Entry[];
     isDurable: boolean;
-    /** Tries whose end is not known, the one under way included: while there are none, nothing of it can stand. */
-    openTries: number;
+    /** Number of attempts in flight or with an unknown result. While it is 0, the record is not stored. */
+    openAttempts: number;
 }
 
-/** The journal; see the module comment. */
+/** Appends events to the journal and writes snapshots of the state. */
 export class Journal {
     private queue: Entry[] = [];
-    /** Records under way, or durable while one before them is not, by sequence. */
+    /** Records in flight, and durable ones after a record that is not yet durable, in order of sequence. */
     private inFlight: SentRecord[] = [];
-    /** Last record that was sent. */
+    /** Sequence number of the last record that was sent. */
     private sentSequence: number;
     private timer: Timer | undefined;
-    private lastBegun: Millis = -Infinity;
+    private lastStartedAt: Millis = -Infinity;
+    /** Sequence number of the last record up to which all records are durable. */
     private sequence: number;
-    /** Revision of the head of the snapshots. */
+    /** Revision of the snapshot head. */
     private headRevision: number;
+    /** Sequence number of the last record that the newest snapshot covers. */
     private coveredSequence: number;
-    /** Characters of the newest snapshot, and of the records that are durable and not in it. */
+    /** Length of the newest snapshot, and of the durable records that it does not cover, in characters. */
     private snapshotLength: number;
     private recordsLength: number;
     private generation: number;
-    private snapshotting = false;
-    /** Rises when an appended event is withdrawn: a snapshot that holds it must not be used. */
+    private isSnapshotting = false;
+    /** Increases when an appended event is withdrawn: a snapshot that contains it must not be written. */
     private withdrawals = 0;
     private closed = false;
 
@@ -113,21 +116,20 @@
         this.recordsLength = loaded.recordsLength;
         this.coveredSequence = loaded.coveredSequence;
         this.generation = loaded.generation;
-        // Leaders that were lost one after the other may have left the ring full: no record can be written before a snapshot.
+        // Earlier leaders may have left the ring full, so that no record can be written before a snapshot.
         this.startSnapshotIfDue();
     }
 
     /**
      * Appends an event that is already applied to the state.
-     * @param event - The event.
-     * @param handleCommitted - Called once it is durable; never if it does not become so.
+     * @param handleCommitted - Called once the event is durable; never if it does not become durable.
      */
     append(event: JobEvent, handleCommitted?: () => void): void {
         this.queue.push({ event, handleCommitted, waiters: [], endsRecord: false });
         this.scheduleRecord();
     }
 
-    /** Calls back once everything appended so far is durable; at once if it is. */
+    /** Calls back once all events appended so far are durable or withdrawn; at once if none is pending. */
     runWhenCommitted(notify: () => void): void {
         const last = this.queue.at(-1) ?? this.getLastInFlight();
         if (last === undefined) {
@@ -137,14 +139,14 @@
         last.waiters.push(notify);
     }
 
-    /** Tells whether the store has not answered for so long that new work is better refused. */
+    /** Returns whether the store has not answered for so long that new work should be refused. */
     isStalled(): boolean {
         return this.options.store.getStallMs() > STALL_MS;
     }
 
     /**
-     * Withdraws acceptances that surely do not stand in the store.
-     * @param handleWithdrawn - Called with each.
+     * Withdraws all acceptances that are certainly not in the store.
+     * @param handleWithdrawn - Called with the job of each.
      */
     withdrawAcceptances(handleWithdrawn: (jobId: string) => void): void {
         let previous: Entry | undefined;
@@ -165,7 +167,7 @@
             return kept;
         };
         for (const record of this.inFlight) {
-            if (!record.isDurable && record.openTries === 0) {
+            if (!record.isDurable && record.openAttempts === 0) {
                 record.entries = withdraw(record.entries);
             }
             previous = record.entries.at(-1) ?? previous;
@@ -174,7 +176,7 @@
         this.startSnapshotIfDue();
     }
 
-    /** Stops for good; what is not durable is given up. */
+    /** Stops permanently, and abandons events that are not yet durable. */
     close(): void {
         this.closed = true;
         this.timer?.cancel();
@@ -187,15 +189,15 @@
             return;
         }
         const now = this.options.clock.now();
-        const wait = Math.max(GATHER_MS, this.lastBegun + this.computeGap() - now);
+        const wait = Math.max(BATCH_DELAY_MS, this.lastStartedAt + this.computeRecordInterval() - now);
         this.timer = this.options.clock.schedule(wait, () => {
             this.timer = undefined;
             void this.writeRecord();
         });
     }
 
-    private computeGap(): Millis {
-        return RECORD_GAP_MS + (this.options.computeExtraGap?.() ?? 0);
+    private computeRecordInterval(): Millis {
+        return MIN_RECORD_INTERVAL_MS + (this.options.computeExtraInterval?.() ?? 0);
     }
 
     private async writeRecord(): Promise<void> {
@@ -203,9 +205,14 @@
         if (entries.length === 0) {
             return;
         }
-        this.lastBegun = this.options.clock.now();
+        this.lastStartedAt = this.options.clock.now();
         this.sentSequence += 1;
-        const record: SentRecord = { sequence: this.sentSequence, entries, isDurable: false, openTries: 0 };
+        const record: SentRecord = {
+            sequence: this.sentSequence,
+            entries,
+            isDurable: false,
+            openAttempts: 0,
+        };
         this.inFlight.push(record);
         this.scheduleRecord();
         const { epoch } = this.options;
@@ -220,7 +227,7 @@
             },
             buildConditions: () => [this.buildHeadCondition()],
             mayBeOutdated: true,
-            observeTry: phase => record.openTries += phase === "sent" ? 1 : -1,
+            observeAttempt: phase => record.openAttempts += phase === "sent" ? 1 : -1,
         });
         if (this.closed || !this.handleResult(result)) {
             return;
@@ -234,17 +241,17 @@
         this.scheduleRecord();
     }
 
-    /** Takes the events of the next record. */
+    /** Removes the events of the next record from the queue. */
     private takeEntries(): Entry[] {
         const last = this.queue.findIndex(entry => entry.endsRecord);
-        return this.queue.splice(0, last === -1 ? MAX_EVENTS : Math.min(last + 1, MAX_EVENTS));
+        return this.queue.splice(0, last === -1 ? MAX_RECORD_EVENTS : Math.min(last + 1, MAX_RECORD_EVENTS));
     }
 
     /**
-     * Tells whether the next record would overwrite one that no snapshot covers.
+     * Returns whether the next record would overwrite one that no snapshot covers.
      *
-     * @remarks Failure guarded against: snapshots fail for seconds while records are written, the ring comes round, and
-     * the next leader finds neither the overwritten events nor a snapshot that holds them.
+     * @remarks If snapshots fail for seconds while records are written, the ring wraps around. The next
+     * leader would then find neither the overwritten events nor a snapshot that contains them.
      */
     private isRingFull(): boolean {
         return this.sentSequence - this.coveredSequence >= RING_SLOTS;
@@ -253,15 +260,15 @@
     /**
      * Builds the condition of every write to a slot or a part of a snapshot.
      *
-     * @remarks Failure guarded against: a try that is carried out late replaces what was written to its key since. A slot
-     * is used again only once a later snapshot covers it, and a part only once a later head is written; both change the
-     * revision that the late try names.
+     * @remarks It prevents an attempt that the store executes late from overwriting a newer value of its key.
+     * A slot is reused only after a later snapshot covers it, and a part only after a later head was written;
+     * both change the revision of the head, so the late attempt is refused.
      */
     private buildHeadCondition(): StoreCondition {
         return { key: SNAPSHOT_HEAD_KEY, revision: this.headRevision };
     }
 
-    /** Lets the effects of durable records out, in order, up to the first that is not durable. */
+    /** Performs the effects of durable records, in order, up to the first record that is not durable. */
     private releaseDurable(): void {
         for (let record = this.inFlight[0]; record?.isDurable === true; record = this.inFlight[0]) {
             this.inFlight.shift();
@@ -274,7 +281,7 @@
         return this.inFlight.findLast(record => record.entries.length > 0)?.entries.at(-1);
     }
 
-    /** Tells whether the journal may go on. */
+    /** Handles the result of a write; returns whether the journal may continue. */
     private handleResult(result: GuardedResult): boolean {
         if (result.kind === "deposed") {
             this.close();
@@ -293,16 +300,17 @@
     }
 
     /**
-     * Begins a snapshot of the state as it is now, once enough records have been written since the last one.
+     * Begins a snapshot of the current state if enough records have been written since the last one.
      *
-     * @remarks Failure guarded against: a snapshot holds events beyond the records that it covers, and the next leader
-     * applies them again. So the events that the state holds fill records of their own, the last of which it covers.
+     * @remarks If a snapshot contained events beyond the records that it covers, the next leader would apply
+     * them twice. The record of the last event in the state therefore ends with that event, and is the last
+     * one covered.
      */
     private startSnapshotIfDue(): void {
-        if (this.snapshotting || !this.isSnapshotDue()) {
+        if (this.isSnapshotting || !this.isSnapshotDue()) {
             return;
         }
-        this.snapshotting = true;
+        this.isSnapshotting = true;
         const text = this.options.encodeState();
         const { withdrawals } = this;
         const last = this.queue.at(-1);
@@ -310,24 +318,26 @@
             last.endsRecord = true;
         }
         this.runWhenCommitted(() => {
-            // What it holds is durable now, so a later withdrawal is of none of it and must not spoil it: with the ring
-            // full by then, the next one would wait for events that no record can take.
+            // All events in the snapshot are durable now, so a later withdrawal cannot concern it and must
+            // not discard it: if the ring is full by then, the next snapshot would wait for events that
+            // cannot be written.
             if (withdrawals === this.withdrawals) {
                 void this.writeSnapshot(text, this.sequence);
                 return;
             }
-            // The text holds an acceptance that was withdrawn. Another snapshot begins with the end of the next record, or once
-            // all withdrawals of this moment are through.
-            this.snapshotting = false;
+            // The text contains an acceptance that was withdrawn. Another snapshot begins at the end of the
+            // next record, or once the current withdrawals are complete.
+            this.isSnapshotting = false;
         });
     }
 
     private isSnapshotDue(): boolean {
-        const longest = Math.max(LEAST_RECORDS_LENGTH, this.snapshotLength * RECORDS_TO_SNAPSHOT);
-        return this.sequence - this.coveredSequence >= SNAPSHOT_EVERY || this.recordsLength > longest;
+        const longest = Math.max(MIN_RECORDS_LENGTH, this.snapshotLength * RECORDS_TO_SNAPSHOT_RATIO);
+        return this.sequence - this.coveredSequence >= SNAPSHOT_INTERVAL_RECORDS ||
+            this.recordsLength > longest;
     }
 
-    /** Writes the parts, then the head that makes them count. */
+    /** Writes the parts, then the head that makes the snapshot valid. */
     private async writeSnapshot(text: string, sequence: number): Promise<void> {
         const coveredLength = this.recordsLength;
         const parts = splitText(text);
@@ -348,12 +358,12 @@
         this.recordsLength -= coveredLength;
         const characters = text.length;
         this.options.log.info("snapshotWritten", { sequence, parts: parts.length, characters });
-        this.snapshotting = false;
+        this.isSnapshotting = false;
         this.startSnapshotIfDue();
         this.scheduleRecord();
     }
 
-    /** Writes a part of a snapshot; tells whether the journal may go on. */
+    /** Writes a part of a snapshot; returns whether the journal may continue. */
     private async writePart(key: string, value: string): Promise<boolean> {
         const result = await this.options.store.write({
             buildWrite: () => ({ key, value }),
@@ -363,7 +373,7 @@
         return this.handleResult(result);
     }
 
-    /** Writes the head; tells whether the journal may go on. */
+    /** Writes the head; returns whether the journal may continue. */
     private async writeHead(value: string): Promise<boolean> {
         const result = await this.options.store.write({
             buildWrite: () => ({ key: SNAPSHOT_HEAD_KEY, value }),
--- a/src/process/journal/load-journal.ts
+++ b/src/process/journal/load-journal.ts
@@ -1,8 +1,12 @@
-/** Reads the journal back after a take-over: the newest snapshot, and of the ring only what follows it. */
-import { JobBook } from "../jobs/job-book.js";
-import { decodeBook } from "../jobs/snapshot.js";
+/**
+ * Reads the journal after a takeover: the newest snapshot, and only the records of the ring that follow it.
+ */
+import { JobRegistry } from "../jobs/job-registry.js";
+import { decodeJobs } from "../jobs/snapshot.js";
 import type { StoreRecord } from "../ports/index.js";
 import type { Log } from "../telemetry.js";
+import { JournalReader } from "./journal-reader.js";
+import type { JournalReaderOptions } from "./journal-reader.js";
 import {
     countRingSegments,
     findRingSegment,
@@ -10,51 +14,49 @@
     makeSnapshotKey,
     SNAPSHOT_HEAD_KEY,
 } from "./keys.js";
-import { PieceReader } from "./piece-reader.js";
-import type { PieceReaderOptions } from "./piece-reader.js";
 import { decodeJournalRecord, decodeSnapshotHead } from "./records.js";
 import type { JournalRecord, SnapshotHead } from "./records.js";
 
-/** The state as the store has it. */
+/** The state that was read from the store. */
 export interface LoadedJournal {
-    readonly book: JobBook;
-    /** Last record. */
+    readonly jobs: JobRegistry;
+    /** Sequence number of the last record. */
     readonly sequence: number;
-    /** Last record that the newest snapshot covers. */
+    /** Sequence number of the last record that the newest snapshot covers. */
     readonly coveredSequence: number;
     readonly generation: number;
-    /** Revision of the head of the snapshots; 0 if there is none. */
+    /** Revision of the snapshot head; 0 if there is none. */
     readonly headRevision: number;
-    /** Characters of the newest snapshot. */
+    /** Length of the newest snapshot, in characters. */
     readonly snapshotLength: number;
-    /** Characters of the records after it. */
+    /** Total length of the records after the snapshot, in characters. */
     readonly recordsLength: number;
-    /** Calls that it took to read all this. */
+    /** Number of calls to the store that reading took. */
     readonly pieces: number;
 }
 
-/** What loading needs. */
-export type LoadContext = PieceReaderOptions;
+/** Options of {@link loadJournal}. */
+export type LoadOptions = JournalReaderOptions;
 
-/** Segments of the ring that are asked for ahead of the one that is known to be needed. */
-const SEGMENTS_AHEAD = 2;
+/** Segments of the ring that are requested ahead of the one known to be needed. */
+const READ_AHEAD_SEGMENTS = 2;
 
 interface ReadRecord {
     readonly record: JournalRecord;
-    /** Characters of its text. */
+    /** Length of its text, in characters. */
     readonly length: number;
 }
 
 const EMPTY_HEAD: SnapshotHead = { generation: 0, parts: 0, sequence: 0 };
 
 /**
- * Loads snapshot and records. Call it once this node's own leader record is written: from then on no earlier leader
- * can add to them.
- * @returns Undefined if the attempt is over.
- * @throws An error that names the key of what cannot be read.
+ * Loads the snapshot and the records after it. Call it only after this node's own leader record was written:
+ * from then on no earlier leader can add to them.
+ * @returns Undefined if loading was cancelled.
+ * @throws An error with the key of a record or snapshot that cannot be decoded.
  */
-export async function loadJournal(context: LoadContext): Promise<LoadedJournal | undefined> {
-    const reader = new PieceReader(context);
+export async function loadJournal(options: LoadOptions): Promise<LoadedJournal | undefined> {
+    const reader = new JournalReader(options);
     const headRecords = await reader.read(SNAPSHOT_HEAD_KEY);
     if (headRecords === undefined) {
         return undefined;
@@ -62,18 +64,18 @@
     const [headRecord] = headRecords;
     const head = headRecord === undefined ?
         EMPTY_HEAD :
-        decodeNamed(headRecord.key, () => decodeSnapshotHead(headRecord.value));
-    const [text, records] = await Promise.all([readSnapshot(reader, head), readLater(reader, head)]);
+        decodeWithKey(headRecord.key, () => decodeSnapshotHead(headRecord.value));
+    const [text, records] = await Promise.all([readSnapshot(reader, head), readRecordsAfter(reader, head)]);
     if (text === undefined || records === undefined) {
         return undefined;
     }
-    const book = head.parts === 0 ?
-        new JobBook() :
-        decodeNamed(makeSnapshotKey(head.generation, 0), () => decodeBook(text));
-    const later = selectConnected(context.log, head, records.map(({ record }) => record));
-    later.forEach(({ events }) => events.forEach(event => book.apply(event)));
+    const restored = head.parts === 0 ?
+        new JobRegistry() :
+        decodeWithKey(makeSnapshotKey(head.generation, 0), () => decodeJobs(text));
+    const later = selectContiguous(options.log, head, records.map(({ record }) => record));
+    later.forEach(({ events }) => events.forEach(event => restored.apply(event)));
     return {
-        book,
+        jobs: restored,
         sequence: later.at(-1)?.sequence ?? head.sequence,
         coveredSequence: head.sequence,
         generation: head.generation,
@@ -84,7 +86,8 @@
     };
 }
 
-function decodeNamed<Value>(key: string, decode: () => Value): Value {
+/** Decodes the value of a key, and adds the key to the error if that fails. */
+function decodeWithKey<Value>(key: string, decode: () => Value): Value {
     try {
         return decode();
     }
@@ -93,7 +96,7 @@
     }
 }
 
-async function readSnapshot(reader: PieceReader, head: SnapshotHead): Promise<string | undefined> {
+async function readSnapshot(reader: JournalReader, head: SnapshotHead): Promise<string | undefined> {
     const keys = Array.from(
         { length: head.parts },
         (...[, part]) => makeSnapshotKey(head.generation, part),
@@ -110,28 +113,29 @@
 }
 
 /**
- * Reads the ring from the first record after the snapshot, segment by segment, up to the one in which the records end.
- * @returns Undefined if the attempt is over.
+ * Reads the ring segment by segment, from the first record after the snapshot to the segment in which the
+ * contiguous records end.
+ * @returns Undefined if loading was cancelled.
  */
-async function readLater(
-    reader: PieceReader,
+async function readRecordsAfter(
+    reader: JournalReader,
     head: SnapshotHead,
 ): Promise<readonly ReadRecord[] | undefined> {
     const segmentCount = countRingSegments();
     const first = findRingSegment(head.sequence + 1);
-    const asked: Promise<readonly StoreRecord[] | undefined>[] = [];
+    const requested: Promise<readonly StoreRecord[] | undefined>[] = [];
     const found = new Map<number, ReadRecord>();
     let next = head.sequence + 1;
     for (let read = 0; read < segmentCount; read++) {
-        while (asked.length < Math.min(segmentCount, read + 1 + SEGMENTS_AHEAD)) {
-            asked.push(reader.list(makeSegmentPrefix((first + asked.length) % segmentCount)));
+        while (requested.length < Math.min(segmentCount, read + 1 + READ_AHEAD_SEGMENTS)) {
+            requested.push(reader.list(makeSegmentPrefix((first + requested.length) % segmentCount)));
         }
-        const records = await asked[read];
+        const records = await requested[read];
         if (records === undefined) {
             return undefined;
         }
         for (const { key, value } of records) {
-            const record = decodeNamed(key, () => decodeJournalRecord(value));
+            const record = decodeWithKey(key, () => decodeJournalRecord(value));
             found.set(record.sequence, { record, length: value.length });
         }
         while (found.has(next)) {
@@ -148,12 +152,12 @@
 /**
  * Selects the records that follow the snapshot without a gap.
  *
- * @remarks Records are sent several at a time, so a leader that died may have left some beyond one that was never
- * written. No effect of those was let out, and they are dropped. A later leader writes from the gap on; what still
- * stands beyond its own last record has a lower epoch and is no continuation of it, nor of a snapshot that it wrote:
- * all records after that one are its own or a later leader's.
+ * @remarks Several records are in flight at once, so a leader that died may have left records beyond one that
+ * was never written. Their effects were never performed, and they are dropped. A later leader writes from the
+ * gap on. Records that remain beyond its last one have a lower epoch and do not continue its records or its
+ * snapshot.
  */
-function selectConnected(
+function selectContiguous(
     log: Log,
     { sequence: covered, epoch: snapshotEpoch = 0 }: SnapshotHead,
     records: readonly JournalRecord[],
@@ -161,18 +165,18 @@
     const later = records
         .filter(record => record.sequence > covered)
         .sort((left, right) => left.sequence - right.sequence);
-    const connected: JournalRecord[] = [];
+    const contiguous: JournalRecord[] = [];
     for (const record of later) {
-        const last = connected.at(-1);
+        const last = contiguous.at(-1);
         const follows = record.sequence === (last?.sequence ?? covered) + 1;
         if (!follows || record.epoch < (last?.epoch ?? snapshotEpoch)) {
             break;
         }
-        connected.push(record);
+        contiguous.push(record);
     }
-    if (connected.length < later.length) {
-        const dropped = later.length - connected.length;
-        log.warn("CR1603", "journalTailDropped", { after: connected.at(-1)?.sequence ?? covered, dropped });
+    if (contiguous.length < later.length) {
+        const dropped = later.length - contiguous.length;
+        log.warn("CR1603", "journalTailDropped", { after: contiguous.at(-1)?.sequence ?? covered, dropped });
     }
-    return connected;
+    return contiguous;
 }
--- a/src/process/journal/records.ts
+++ b/src/process/journal/records.ts
@@ -1,21 +1,21 @@
-/** Records of the journal as text. */
+/** Encodes and decodes the records of the journal. */
 import type { JobEvent } from "../jobs/job-events.js";
 
-/** One committed batch. */
+/** One batch of events, committed together. */
 export interface JournalRecord {
     readonly epoch: number;
-    /** Rises by one with each record, over all leaders. */
+    /** Increases by one with each record, across leaders. */
     readonly sequence: number;
     readonly events: readonly JobEvent[];
 }
 
-/** Names the newest whole snapshot. */
+/** Refers to the newest complete snapshot. */
 export interface SnapshotHead {
     readonly generation: number;
     readonly parts: number;
-    /** Last record that it covers. */
+    /** Sequence number of the last record that the snapshot covers. */
     readonly sequence: number;
-    /** Epoch of the leader that wrote it; not in heads of earlier versions. */
+    /** Epoch of the leader that wrote the snapshot. Absent from heads of earlier versions. */
     readonly epoch?: number;
 }
 
@@ -23,7 +23,9 @@
     return JSON.stringify(record);
 }
 
-/** Reads a record that this program wrote under the leader's guard. */
+/**
+ * Decodes a record. The text is not validated, since only a leader writes it, through {@link GuardedStore}.
+ */
 export function decodeJournalRecord(text: string): JournalRecord {
     return JSON.parse(text) as JournalRecord;
 }
--- a/src/process/leader/context.ts
+++ b/src/process/leader/context.ts
@@ -2,8 +2,8 @@
 import type { Clock, Millis } from "../../common/clock.js";
 import type { Lateness } from "../../common/lateness.js";
 import type { ClusterConfig, QueueConfig } from "../../version/cluster-config.js";
-import type { JobBook } from "../jobs/job-book.js";
 import type { JobEvent } from "../jobs/job-events.js";
+import type { JobRegistry } from "../jobs/job-registry.js";
 import type { Step } from "../jobs/job.js";
 import type { InheritedLeases } from "../leadership/inherited-leases.js";
 import type { TaskWorkerPort } from "../ports/task-worker-port.js";
@@ -17,7 +17,7 @@
     readonly log: Log;
     readonly metrics: Metrics;
     readonly epoch: number;
-    readonly book: JobBook;
+    readonly book: JobRegistry;
     readonly workerPort: TaskWorkerPort;
     readonly authority: Authority;
     /** When steps' runs last began or ended. */
--- a/src/process/leader/crash-desk.ts
+++ b/src/process/leader/crash-desk.ts
@@ -9,7 +9,7 @@
 import { LossKind } from "../jobs/job-events.js";
 import { TaskState } from "../jobs/job.js";
 import type { Step, Task } from "../jobs/job.js";
-import { CLEARED_MS, computeLossPause, countCrashes, EARLY_MS, isCrasher } from "../jobs/worker-losses.js";
+import { CLEARED_MS, computeLossBackoff, countCrashes, EARLY_MS, isCrasher } from "../jobs/worker-losses.js";
 import type { LeaderContext } from "./context.js";
 import { RunLoss } from "./run-loss.js";
 
@@ -153,7 +153,7 @@
 
     /** Tells whether a task must wait until more is known of its losses. */
     isPaused(task: Task): boolean {
-        const pause = computeLossPause(task);
+        const pause = computeLossBackoff(task);
         return pause > 0 && this.context.clock.now() < (this.lostAt.get(task) ?? this.begin) + pause;
     }
 
--- a/src/process/leader/inherited-runs.ts
+++ b/src/process/leader/inherited-runs.ts
@@ -2,8 +2,8 @@
 import type { Millis } from "../../common/clock.js";
 import { buildRunRecord, makeRunKey, RunPhase } from "../dispatch/worker-state.js";
 import type { RunRecord } from "../dispatch/worker-state.js";
-import type { FoundTask } from "../jobs/job-book.js";
 import { RunEnd } from "../jobs/job-events.js";
+import type { FoundTask } from "../jobs/job-registry.js";
 import type { Step, Task } from "../jobs/job.js";
 import { isSuspect } from "../jobs/worker-losses.js";
 import type { LeaderContext } from "./context.js";
--- a/src/process/leader/leader.ts
+++ b/src/process/leader/leader.ts
@@ -12,7 +12,7 @@
 import { rankStep } from "../dispatch/urgency.js";
 import type { Urgency } from "../dispatch/urgency.js";
 import type { Step } from "../jobs/job.js";
-import { encodeBook } from "../jobs/snapshot.js";
+import { encodeJobs } from "../jobs/snapshot.js";
 import type { GuardedStore } from "../journal/guarded-store.js";
 import { Journal } from "../journal/journal.js";
 import type { LoadedJournal } from "../journal/load-journal.js";
@@ -105,7 +105,7 @@
             step => this.permits.getPermits(step),
         );
         this.report = this.buildReport();
-        for (const job of options.loaded.book.listAll()) {
+        for (const job of options.loaded.jobs.listAll()) {
             job.isEndDurable = job.endedAt !== 0;
         }
         this.queues.storeAll();
@@ -158,7 +158,7 @@
             log: options.log,
             metrics: options.metrics,
             epoch: options.epoch,
-            book: options.loaded.book,
+            book: options.loaded.jobs,
             workerPort: options.workerPort,
             authority: new Authority(options.clock, options.store),
             history: new StepHistory(),
@@ -173,7 +173,7 @@
             findQueueByName: name => this.queues.find(name),
             record: (event, handleCommitted) => {
                 if (!this.closed) {
-                    options.loaded.book.apply(event);
+                    options.loaded.jobs.apply(event);
                     this.journal.append(event, handleCommitted);
                 }
             },
@@ -199,12 +199,12 @@
             epoch: options.epoch,
             loaded: options.loaded,
             encodeState: () => {
-                const { book } = options.loaded;
+                const { jobs } = options.loaded;
                 // What a snapshot leaves out, the records after it say again.
-                book.adoptions.dropOthers(book.listConcernedWorkers());
-                return encodeBook(book);
+                jobs.adoptions.dropOthers(jobs.listConcernedWorkers());
+                return encodeJobs(jobs);
             },
-            computeExtraGap: () => computeExtraRecordGap(options.lateness),
+            computeExtraInterval: () => computeExtraRecordGap(options.lateness),
             handleDeposed: () => options.handleDeposed("the store refused a write under this leader's guard"),
         });
     }
@@ -276,7 +276,7 @@
     private rankWaiting(): readonly Urgency[] {
         const wallNow = this.options.clock.wallNow();
         const ranked: Urgency[] = [];
-        for (const step of this.options.loaded.book.listRunnable()) {
+        for (const step of this.options.loaded.jobs.listRunnable()) {
             const queue = this.context.findQueueByName(step.job.queue);
             if (queue !== undefined) {
                 const predict = (estimate: Millis): Millis => this.runTimes.estimate(queue.name, estimate);
@@ -305,10 +305,10 @@
 
     private openOccurrences(): void {
         const wallNow = this.options.clock.wallNow();
-        const { book } = this.options.loaded;
-        for (const job of book.listOpen()) {
+        const { jobs } = this.options.loaded;
+        for (const job of jobs.listOpen()) {
             if (job.spec?.repeat !== undefined) {
-                book.openDueOccurrences(job, wallNow);
+                jobs.openDueOccurrences(job, wallNow);
             }
         }
     }
--- a/src/process/leader/unheld-runs.ts
+++ b/src/process/leader/unheld-runs.ts
@@ -1,5 +1,5 @@
 /** Looks for tasks that the book holds as assigned while nothing is left that could ever end their run. */
-import type { FoundTask } from "../jobs/job-book.js";
+import type { FoundTask } from "../jobs/job-registry.js";
 import { TaskState } from "../jobs/job.js";
 import type { Step, Task } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
--- a/src/process/leader/waiting-steps.ts
+++ b/src/process/leader/waiting-steps.ts
@@ -1,6 +1,6 @@
 /** Follows which steps wait for long, and when a line about each is due. */
 import type { Millis } from "../../common/clock.js";
-import type { JobBook } from "../jobs/job-book.js";
+import type { JobRegistry } from "../jobs/job-registry.js";
 import { isStepReady, listSteps } from "../jobs/job.js";
 import type { Job, Step } from "../jobs/job.js";
 import type { StepHistory } from "./step-history.js";
@@ -51,7 +51,7 @@
      * @param book - All jobs.
      * @param history - When runs began and ended.
      */
-    constructor(private readonly book: JobBook, private readonly history: StepHistory) {}
+    constructor(private readonly book: JobRegistry, private readonly history: StepHistory) {}
 
     /**
      * Looks at all open steps. Call it once a second.
--- a/src/process/leadership/epoch-history.ts
+++ b/src/process/leadership/epoch-history.ts
@@ -1,19 +1,19 @@
-/** When this process first knew of each epoch, on its own monotonic clock. */
+/** Records when this process first learned of each epoch, on its own monotonic clock. */
 import type { Millis } from "../../common/clock.js";
 
 /**
- * Times of epochs.
+ * The times at which epochs were first seen.
  *
- * @remarks A new leader has to wait until leases that earlier leaders gave have surely run out, and the wait counts from
- * when those leaders lost their place. The claim of an epoch was made before any process heard of it, so the time at
- * which this one did is late enough, and earlier than the time of its own claim. A process that is suspended finds less
- * time passed than there was, which only makes the wait longer.
+ * @remarks A new leader waits until leases that earlier leaders granted have certainly expired, counted from
+ * when those leaders lost their leadership. An epoch is claimed before any process learns of it, so the time
+ * at which this process did is a safe upper bound, and earlier than its own claim. If the clock stops while
+ * the process is suspended, the wait only becomes longer.
  */
 export class EpochHistory {
-    /** Epochs and times, both rising. */
+    /** Both epochs and times increase. */
     private readonly seen: { readonly epoch: number; readonly at: Millis; }[] = [];
 
-    /** Takes in that an epoch is known of. */
+    /** Records an epoch if it is higher than all seen before. */
     observe(epoch: number, now: Millis): void {
         if (epoch > (this.seen.at(-1)?.epoch ?? 0)) {
             this.seen.push({ epoch, at: now });
@@ -21,18 +21,17 @@
     }
 
     /**
-     * Returns a time at which the leader of an epoch had surely lost its place.
-     * @param epoch - An earlier leader's.
-     * @param now - The answer where nothing better is known.
+     * Returns a time by which the leader of an epoch had certainly lost its leadership.
+     * @param epoch - Epoch of an earlier leader.
+     * @param now - Returned if no later epoch was seen.
      */
     findLossTime(epoch: number, now: Millis): Millis {
         return this.seen.find(entry => entry.epoch > epoch)?.at ?? now;
     }
 
     /**
-     * Returns when this process first knew of an epoch.
-     * @param epoch - Any.
-     * @param now - The answer where it does not know of it yet.
+     * Returns when this process first learned of an epoch.
+     * @param now - Returned if the epoch was not seen yet.
      */
     findFirstSeen(epoch: number, now: Millis): Millis {
         return this.seen.find(entry => entry.epoch === epoch)?.at ?? now;
--- a/src/process/leadership/inherited-leases.ts
+++ b/src/process/leadership/inherited-leases.ts
@@ -1,42 +1,45 @@
-/** Until when leases that earlier leaders gave to workers may run. */
+/** Bounds the time until which leases that earlier leaders granted to workers may be valid. */
 import type { Millis } from "../../common/clock.js";
 import { computeLeaseBound } from "../dispatch/worker-session.js";
 import type { EpochHistory } from "./epoch-history.js";
 
-/** What a leader knows of the leaderships before its own. */
+/** What a leader knows about the leaderships before its own. */
 export interface InheritedLeasesOptions {
     /** The leader's own epoch. */
     readonly epoch: number;
-    /** Whether the leader before it gave its place up, so that its right to extend leases ended then. */
+    /**
+     * Whether the previous leader handed its leadership over, and so stopped extending leases at that moment.
+     */
     readonly wasHandedOver: boolean;
-    /** When the leader took over, on its clock. */
+    /** Time at which this leader took over, on its monotonic clock. */
     readonly begin: Millis;
     readonly history: EpochHistory;
-    /** Length of leases. */
+    /** Duration of a worker's lease. */
     readonly leaseMs: Millis;
-    /** How long a leader without the store goes on extending leases. */
+    /** How long a leader that cannot reach the store continues to extend leases. */
     readonly unconfirmedMs: Millis;
 }
 
 /**
- * Bounds of inherited leases.
+ * Computes when inherited leases have certainly expired.
  *
- * @remarks Only a leader that has adopted a worker, which it makes durable first, extends leases there. So what counts is
- * when the last leader that did so lost its place, not when this one took over. Failure guarded against: leaders change
- * every few seconds, a worker is gone, and each new leader counts its wait from its own claim; the worker's tasks stand
- * still through all of these waits.
+ * @remarks A leader extends leases only on workers that it has durably adopted. The wait therefore counts
+ * from when the last adopting leader lost its leadership. If each new leader counted it from its own
+ * takeover, the tasks of a worker that is gone would stall for as long as leaders change every few seconds.
  */
 export class InheritedLeases {
     constructor(private readonly options: InheritedLeasesOptions) {}
 
     /**
-     * Returns when, on our clock, all leases on a worker have surely run out.
-     * @param adoptedBy - Epoch of the last leader that adopted the worker; undefined where that is not known.
+     * Returns the time, on this process's monotonic clock, by which all leases on a worker have certainly
+     * expired.
+     * @param adoptedBy - Epoch of the last leader that adopted the worker; undefined if unknown.
      */
     computeEnd(adoptedBy: number | undefined): Millis {
         const { epoch, wasHandedOver, begin, history, leaseMs, unconfirmedMs } = this.options;
         const lastHolder = adoptedBy ?? epoch - 1;
-        // Snapshots leave out adoptions of idle workers, so one of which nothing is known may be an earlier leader's.
+        // Snapshots leave out adoptions of idle workers, so a worker without a known adoption may have been
+        // adopted by any earlier leader.
         const wasGivenUp = wasHandedOver && adoptedBy === epoch - 1;
         const lostAt = history.findLossTime(lastHolder, begin);
         return lostAt + (wasGivenUp ? 0 : unconfirmedMs) + computeLeaseBound(leaseMs);
--- a/src/process/leadership/leader-lease.ts
+++ b/src/process/leadership/leader-lease.ts
@@ -1,49 +1,61 @@
-/** The lease by which the store tells other nodes that it still hears the leader. */
+/** Keeps the leader's lease in the store, by which other nodes see that the leader is alive. */
 import { sleep } from "../../common/clock.js";
 import type { Clock, Millis } from "../../common/clock.js";
 import { ALIVE_KEY, LEADER_KEY } from "../journal/keys.js";
 import type { StorePort } from "../ports/index.js";
 
-/** Time to live of the lease: a leader that stands still is replaced after this time and a look. */
+/** Time to live of the lease. A leader that is suspended is replaced at the first check after this time. */
 const ALIVE_TTL_MS: Millis = 1_000;
-/** Three renewals may be lost before the lease runs out. */
-const RENEW_MS: Millis = 300;
+/** Three renewals may be lost before the lease expires. */
+const RENEWAL_INTERVAL_MS: Millis = 300;
 /**
- * Pause after a renewal without an answer, and time after which the next one is sent beside it: a store that was away is
- * heard of this soon after its return, and all writes that wait go on then.
+ * Delay before the next renewal after one without an answer, and time after which an unanswered renewal is no
+ * longer waited for. Short, because the first answer of a store that was unavailable resumes all pending
+ * writes.
  */
-const RENEW_AGAIN_MS: Millis = 100;
+const RETRY_DELAY_MS: Millis = 100;
 const CALL_TIMEOUT_MS: Millis = 400;
-/** Time for a look that nobody waits for: over a link that is full, as while a new leader loads, an answer takes long. */
+/**
+ * Timeout of a check for which no request waits. Over a congested link, as while a new leader loads, answers
+ * take long.
+ */
 const IDLE_CHECK_TIMEOUT_MS: Millis = 3_000;
-/** An idle leader looks at its record this long after its last write. */
-const CHECK_AFTER_MS: Millis = 1_000;
-/** Half of the lease: nobody takes the place of a leader that the store has answered this short a time ago. */
-const FRESH_MS: Millis = ALIVE_TTL_MS / 2;
+/** An idle leader reads its record this long after the store last confirmed its leadership. */
+const IDLE_AFTER_MS: Millis = 1_000;
+/**
+ * Age of the last confirmation by the store within which no other node can have taken over: half of the
+ * lease's time to live.
+ */
+const MAX_CONTACT_AGE_MS: Millis = ALIVE_TTL_MS / 2;
 
-/** What keeping the lease needs. */
+/** Options of {@link LeaderLease}. */
 export interface LeaderLeaseOptions {
     readonly port: StorePort;
     readonly clock: Clock;
-    readonly life: string;
+    /** Identifies this incarnation of the process; the value of the alive key. */
+    readonly incarnation: string;
+    /** Revision of the leader's record that this node wrote. */
     readonly leaderRevision: number;
-    /** Factor by which the lease is longer than usual. */
-    readonly slowness?: number;
-    /** Returns when the last call was sent whose answer showed that this node leads. */
+    /** Factor by which the time to live of the lease is longer than usual; 1 by default. */
+    readonly ttlFactor?: number;
+    /** Returns the sending time of the last call whose answer confirmed that this node leads. */
     readonly getLastContact: () => Millis;
-    /** Such a call was sent at this instant. */
+    /** Called when the store has confirmed that this node leads, with the sending time of the call. */
     readonly observeContact: (sentAt: Millis) => void;
-    /** The store has answered a call, whatever it said, after this time. */
+    /** Called for each answer of the store, whatever its content, with the time it took. */
     readonly observeAnswer: (tookMs: Millis) => void;
-    /** The record is another's. */
+    /** Called when another node has taken over the leader's record. */
     readonly handleDeposed: (reason: string) => void;
 }
 
-/** Keeps the alive key on a lease for as long as this node leads. */
+/** Keeps the alive key in the store, attached to a lease, for as long as this node leads. */
 export class LeaderLease {
     private leaseId: string | undefined;
-    /** The one under way: of two leases granted side by side the wrong one might be renewed. */
-    private granting: Promise<boolean> | undefined;
+    /**
+     * The request for a lease in flight. Only one at a time: of two leases granted concurrently, the wrong
+     * one might be renewed.
+     */
+    private pendingGrant: Promise<boolean> | undefined;
     private isChecking = false;
     private closed = false;
 
@@ -51,7 +63,7 @@
         void this.run();
     }
 
-    /** Stops renewing and, if possible, ends the lease at once. */
+    /** Stops the renewals and, if the store is reachable, revokes the lease at once. */
     close(): void {
         this.closed = true;
         if (this.leaseId !== undefined) {
@@ -60,22 +72,22 @@
     }
 
     /**
-     * Tells whether this node still leads, as the store has just shown it.
+     * Returns whether the store has recently confirmed, or confirms now, that this node leads.
      *
-     * @remarks Failure guarded against: a leader that stood still while another took over wakes up, and tells a caller
-     * that a job is unknown which the other has accepted. It has heard nothing from the store for longer than a
-     * take-over takes, so it looks at the record first.
+     * @remarks A leader that was suspended while another took over would otherwise answer that a job is
+     * unknown which the other has accepted. Its last confirmation is older than a takeover takes, so it reads
+     * the record first.
      */
     async confirm(): Promise<boolean> {
-        if (this.isFresh()) {
+        if (this.hasRecentContact()) {
             return true;
         }
         await this.check();
-        return this.isFresh();
+        return this.hasRecentContact();
     }
 
-    private isFresh(): boolean {
-        return !this.closed && this.options.clock.now() - this.options.getLastContact() < FRESH_MS;
+    private hasRecentContact(): boolean {
+        return !this.closed && this.options.clock.now() - this.options.getLastContact() < MAX_CONTACT_AGE_MS;
     }
 
     private async run(): Promise<void> {
@@ -84,13 +96,16 @@
             const sentAt = clock.now();
             const isAnswered = await this.ensureLease(sentAt);
             this.checkIfIdle();
-            await sleep(clock, isAnswered ? RENEW_MS : RENEW_AGAIN_MS);
+            await sleep(clock, isAnswered ? RENEWAL_INTERVAL_MS : RETRY_DELAY_MS);
         }
     }
 
-    /** Looks at the record beside the renewals, which must not wait for a look that is not answered. */
+    /**
+     * Reads the record of an idle leader concurrently with the renewals, which must not wait for a slow
+     * answer.
+     */
     private checkIfIdle(): void {
-        const isIdle = this.options.clock.now() - this.options.getLastContact() > CHECK_AFTER_MS;
+        const isIdle = this.options.clock.now() - this.options.getLastContact() > IDLE_AFTER_MS;
         if (isIdle && !this.isChecking && !this.closed) {
             this.isChecking = true;
             void this.check(IDLE_CHECK_TIMEOUT_MS).finally(() => {
@@ -99,21 +114,25 @@
         }
     }
 
-    /** Takes or renews the lease; tells whether the store has answered soon. */
+    /** Requests or renews the lease. Returns whether the store answered within the retry delay. */
     private async ensureLease(sentAt: Millis): Promise<boolean> {
         const { leaseId } = this;
         if (leaseId === undefined) {
-            this.granting ??= this.grant(sentAt).finally(() => {
-                this.granting = undefined;
+            this.pendingGrant ??= this.grant(sentAt).finally(() => {
+                this.pendingGrant = undefined;
             });
         }
-        const call = leaseId === undefined ? this.granting : this.renew(leaseId, sentAt);
-        return await Promise.race([call, sleep(this.options.clock, RENEW_AGAIN_MS)]) ?? false;
+        const call = leaseId === undefined ? this.pendingGrant : this.renew(leaseId, sentAt);
+        return await Promise.race([call, sleep(this.options.clock, RETRY_DELAY_MS)]) ?? false;
     }
 
+    /**
+     * Requests a lease and attaches the alive key to it, if this node still leads. Returns whether that
+     * succeeded.
+     */
     private async grant(sentAt: Millis): Promise<boolean> {
-        const { port, life, leaderRevision, slowness = 1 } = this.options;
-        const granted = await port.grantLease(Math.round(ALIVE_TTL_MS * slowness), CALL_TIMEOUT_MS);
+        const { port, incarnation, leaderRevision, ttlFactor: factor = 1 } = this.options;
+        const granted = await port.grantLease(Math.round(ALIVE_TTL_MS * factor), CALL_TIMEOUT_MS);
         if (granted.kind !== "done") {
             return false;
         }
@@ -121,7 +140,7 @@
         const answer = await port.transact(
             {
                 conditions: [{ key: LEADER_KEY, revision: leaderRevision }],
-                writes: [{ key: ALIVE_KEY, value: life, leaseId: granted.value }],
+                writes: [{ key: ALIVE_KEY, value: incarnation, leaseId: granted.value }],
                 removals: [],
             },
             CALL_TIMEOUT_MS,
@@ -137,7 +156,10 @@
         return false;
     }
 
-    /** A renewal shows nothing of the record: the lease is this process's own and outlives its leadership. */
+    /**
+     * Renews the lease; returns whether the store answered. The answer does not confirm the leadership, since
+     * the lease belongs to this process and can outlive it.
+     */
     private async renew(leaseId: string, sentAt: Millis): Promise<boolean> {
         const answer = await this.options.port.renewLease(leaseId, CALL_TIMEOUT_MS);
         if (answer.kind === "refused" && this.leaseId === leaseId) {
--- a/src/process/leadership/leader-record.ts
+++ b/src/process/leadership/leader-record.ts
@@ -1,43 +1,45 @@
-/** Who leads, as the store says it. */
+/** Reads the leader's record from the store, and claims the leadership with a compare-and-swap of it. */
 import type { Millis } from "../../common/clock.js";
 import { ALIVE_KEY, LEADER_KEY, LEADER_PREFIX } from "../journal/keys.js";
 import type { StorePort, StoreRecord } from "../ports/index.js";
 
-/** The leader's record. */
+/** The leader's record, stored as JSON. */
 export interface LeaderRecord {
-    /** Rises with each take-over; workers and the store refuse what carries a lower one. */
+    /** Increases with each takeover. Workers and the store refuse requests of a lower epoch. */
     readonly epoch: number;
     readonly nodeName: string;
-    /** `host:port` where the leader takes links. */
+    /** `host:port` at which the leader accepts connections. */
     readonly address: string;
-    /** Unique for each life of a process. */
+    /** Unique for each incarnation of a process. */
     readonly life: string;
-    /** Processor time of its VM, in cores. */
+    /** Processor time of the leader's VM, in cores. */
     readonly cores?: number;
-    /** Consecutive earlier leaders that were replaced without being seen to have loaded the journal. */
+    /**
+     * Number of consecutive earlier leaders that were replaced without having been seen to load the journal.
+     */
     readonly failedBefore?: number;
 }
 
-/** What a look at the store shows. */
+/** The leadership as read from the store. */
 export interface LeaderView {
     readonly record: LeaderRecord | undefined;
     /** Revision of the record; 0 if there is none. */
     readonly revision: number;
-    /** Whether the store has heard of the leader within its lease. */
+    /** Whether the leader's lease in the store is valid. */
     readonly isAlive: boolean;
 }
 
-/** How a claim ended. */
+/** Result of a claim of the leadership. */
 export type ClaimResult =
     | { readonly kind: "won"; readonly revision: number; readonly epoch: number; }
     | { readonly kind: "lost"; }
-    /** The store did not answer: look again. */
+    /** The store did not answer: read the record again to find out. */
     | { readonly kind: "unknown"; };
 
 /**
- * Looks up the leader.
+ * Reads the leader's record and whether its lease is valid.
  * @returns Undefined if the store does not answer.
- * @throws An error that names the key, if its record cannot be read: claimed over, epochs would begin anew.
+ * @throws An error with the key if the record is malformed: claiming over it would restart the epochs at 1.
  */
 export async function readLeader(port: StorePort, timeout: Millis): Promise<LeaderView | undefined> {
     const answer = await port.list(LEADER_PREFIX, timeout);
@@ -72,14 +74,13 @@
 }
 
 /**
- * Claims the leadership: writes the next epoch if the record is still the one that was seen.
+ * Claims the leadership: writes a record with the next epoch if the record is unchanged since it was read.
  *
- * @remarks Safe at any time, also while the leader is well: from that write on the store refuses the earlier
- * leader's writes, and workers that hear the new epoch refuse its orders.
- * @param port - The store.
- * @param view - What was seen.
- * @param own - Who claims.
- * @param timeout - For the one try.
+ * @remarks Safe at any time, even while the current leader is healthy: from that write on, the store refuses
+ * the earlier leader's writes, and workers that receive the new epoch refuse its orders.
+ * @param view - The leadership as last read.
+ * @param own - Record of the claiming node.
+ * @param timeout - Timeout of the single attempt.
  */
 export async function claimLeadership(
     port: StorePort,
--- a/src/process/node/claim-patience.ts
+++ b/src/process/node/claim-patience.ts
@@ -1,7 +1,7 @@
 /** How long a node leaves a new leader alone that it cannot reach. Pure. */
 import type { Millis } from "../../common/clock.js";
 import type { LeaderRecord } from "../leadership/leader-record.js";
-import { computeSlowness } from "../leadership/slow-leader.js";
+import { computeTimeoutFactor } from "../leadership/timeout-factor.js";
 
 /** Time that a new leader is given on the smallest VMs; doubles with each take-over that was not seen to end. */
 const FIRST_PATIENCE_MS: Millis = 1_500;
@@ -42,7 +42,7 @@
         }
         const patience = Math.min(
             LONGEST_PATIENCE_MS,
-            FIRST_PATIENCE_MS * computeSlowness(record.cores) * 2 ** (record.failedBefore ?? 0),
+            FIRST_PATIENCE_MS * computeTimeoutFactor(record.cores) * 2 ** (record.failedBefore ?? 0),
         );
         return Math.max(0, firstSeenAt + patience - now);
     }
--- a/src/process/node/leader-follower.ts
+++ b/src/process/node/leader-follower.ts
@@ -5,7 +5,7 @@
 import type { EpochHistory } from "../leadership/epoch-history.js";
 import { readLeader } from "../leadership/leader-record.js";
 import type { LeaderView } from "../leadership/leader-record.js";
-import { computeSlowness } from "../leadership/slow-leader.js";
+import { computeTimeoutFactor } from "../leadership/timeout-factor.js";
 import type { StorePort } from "../ports/index.js";
 import type { Log } from "../telemetry.js";
 import type { ClaimPatience } from "./claim-patience.js";
@@ -120,7 +120,7 @@
         const result = await connectToLeader(options.network, view.record?.address ?? "", clock, {
             buildStatus: options.buildStatus,
             handleCall: options.handleCall,
-            slowness: computeSlowness(view.record?.cores),
+            slowness: computeTimeoutFactor(view.record?.cores),
             handleNote: (link, note) => this.handleNote(link, note),
         });
         if (result.kind !== "up") {
--- a/src/process/node/leader-seat.ts
+++ b/src/process/node/leader-seat.ts
@@ -13,7 +13,7 @@
 import type { EpochHistory } from "../leadership/epoch-history.js";
 import { InheritedLeases } from "../leadership/inherited-leases.js";
 import { LeaderLease } from "../leadership/leader-lease.js";
-import { computeSlowness } from "../leadership/slow-leader.js";
+import { computeTimeoutFactor } from "../leadership/timeout-factor.js";
 import type { ConfigSource, SourceHandle, WorkerSource } from "../ports/cluster-sources.js";
 import type { StorePort } from "../ports/index.js";
 import type { TaskWorkerPort, WorkerRecord } from "../ports/task-worker-port.js";
@@ -86,7 +86,7 @@
             log: parts.log,
             metrics: parts.metrics,
             leaderRevision: claim.revision,
-            getAttentiveMs: () => this.lateness.getAttentiveMs(),
+            getResponsiveMs: () => this.lateness.getAttentiveMs(),
         });
         this.ready = this.open();
     }
@@ -174,9 +174,9 @@
         const lease = new LeaderLease({
             port: parts.storePort,
             clock,
-            life: parts.life,
+            incarnation: parts.life,
             leaderRevision: claim.revision,
-            slowness: computeSlowness(parts.cores),
+            ttlFactor: computeTimeoutFactor(parts.cores),
             getLastContact: () => this.store.getLastContact(),
             observeContact: sentAt => this.store.observeContact(sentAt),
             observeAnswer: tookMs => this.store.observeAnswer(tookMs),
@@ -224,7 +224,7 @@
         }
         log.info("leadershipReady", {
             epoch: claim.epoch,
-            openJobs: loaded.book.countOpen(),
+            openJobs: loaded.jobs.countOpen(),
             sequence: loaded.sequence,
             pieces: loaded.pieces,
             characters: loaded.snapshotLength + loaded.recordsLength,
--- a/src/test/dispatch/backfill_test.ts
+++ b/src/test/dispatch/backfill_test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { isHeldBack } from "../../process/dispatch/backfill.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import { makeJobId, makeSpec, QUEUE } from "../leader/leader-cell.js";
 
@@ -41,7 +41,7 @@
 describe("backfill beside a gang that lacks room", () => {
     for (const { name, ageMs = 0, priority = 2, blockedPriority = 1, steps = [{}], expected } of cases) {
         it(name, () => {
-            const book = new JobBook();
+            const book = new JobRegistry();
             const spec = makeSpec(...steps.map(step => ({ estimateMs: ESTIMATE_MS, ...step })));
             const at = NOW - ageMs;
             book.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec, at });
--- a/src/test/dispatch/plan-passes.ts
+++ b/src/test/dispatch/plan-passes.ts
@@ -6,7 +6,7 @@
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import type { WorkerState } from "../../process/dispatch/worker-state.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import type { Permit } from "../../process/ports/task-worker-port.js";
 import type { AdvicePolicy } from "../../version/cluster-config.js";
@@ -41,7 +41,7 @@
 export function runPasses(
     { step, policy, allowedBefore = [], listWorkers, answer, forMs }: PassesCase,
 ): FirstStart | undefined {
-    const book = new JobBook();
+    const book = new JobRegistry();
     book.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec: makeSpec(step), at: 0 });
     const permits = new StepPermits();
     permits.accept(allowedBefore, makePermits(allowedBefore), -policy.validMs, policy.validMs);
--- a/src/test/dispatch/planner_test.ts
+++ b/src/test/dispatch/planner_test.ts
@@ -9,7 +9,7 @@
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import type { Step } from "../../process/jobs/job.js";
 import type { QueueConfig } from "../../version/cluster-config.js";
@@ -47,7 +47,7 @@
     permitsOf: ReadonlyMap<number, StepPermits> = new Map(),
     unheard: readonly WorkerState[] = [],
 ): Plan {
-    const book = new JobBook();
+    const book = new JobRegistry();
     jobs.forEach(({ step, at }, index) => {
         const spec = makeSpec(step);
         book.apply({ type: "accepted", jobId: makeJobId(index), queue: "batch", spec, at: at ?? NOW });
--- a/src/test/dispatch/preemption_test.ts
+++ b/src/test/dispatch/preemption_test.ts
@@ -5,7 +5,7 @@
 import { choosePreemptions } from "../../process/dispatch/preemption.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
 import type { RunRecord } from "../../process/dispatch/worker-state.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import type { Step } from "../../process/jobs/job.js";
 import { makeJobId, makeRunRecord, makeSpec, makeWorkerRecord } from "../leader/leader-cell.js";
@@ -33,7 +33,7 @@
 }
 
 function makeGang(change: Partial<StepSpec>): Step {
-    const book = new JobBook();
+    const book = new JobRegistry();
     const demand = { cpuMillis: 18_000, memoryMib: 0, accelerators: 0 };
     const spec = makeSpec({ isGang: true, demand, ...change });
     book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec, at: 0 });
--- a/src/test/dispatch/probation_test.ts
+++ b/src/test/dispatch/probation_test.ts
@@ -7,7 +7,7 @@
 import { PreemptionLooks } from "../../process/dispatch/preemption-looks.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import { makeJobId, makeRunRecord, makeSpec, makeWorkerRecord, QUEUE } from "../leader/leader-cell.js";
 
@@ -102,7 +102,7 @@
 }
 
 function listStarts({ workers, jobs, away = 0 }: Case): readonly string[] {
-    const book = new JobBook();
+    const book = new JobRegistry();
     const names = jobs.map(({ isWell = false }) => isWell ? "well" : "risky");
     jobs.forEach(({ isWell = false, isLate = false, wasLost = false, ...step }, index) => {
         const jobId = makeJobId(index);
--- a/src/test/dispatch/room-claims_test.ts
+++ b/src/test/dispatch/room-claims_test.ts
@@ -2,12 +2,12 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RoomClaims } from "../../process/dispatch/room-claims.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { Step } from "../../process/jobs/job.js";
 import { CORE, makeJobId, makeSpec } from "../leader/leader-cell.js";
 
 function makeSteps(count: number): readonly Step[] {
-    const book = new JobBook();
+    const book = new JobRegistry();
     for (let number = 1; number <= count; number++) {
         const spec = makeSpec({ taskCount: 4, demand: { ...CORE, cpuMillis: 3_000 } });
         book.apply({ type: "accepted", jobId: makeJobId(number), queue: "batch", spec, at: 0 });
--- a/src/test/dispatch/suspects_test.ts
+++ b/src/test/dispatch/suspects_test.ts
@@ -7,7 +7,7 @@
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import { makeJobId, makeRunRecord, makeSpec, makeWorkerRecord, QUEUE } from "../leader/leader-cell.js";
 
@@ -132,7 +132,7 @@
 }
 
 function listStarts({ workers, jobs, paused = [] }: Case): readonly string[] {
-    const book = new JobBook();
+    const book = new JobRegistry();
     jobs.forEach(({ losses = 0, ...step }, index) => {
         const jobId = makeJobId(index);
         book.apply({ type: "accepted", jobId, queue: "batch", spec: makeSpec(step), at: NOW });
--- a/src/test/leader/leader-cell.ts
+++ b/src/test/leader/leader-cell.ts
@@ -6,7 +6,7 @@
 import type { Resources } from "../../common/resources.js";
 import { buildRunRecord, RunPhase } from "../../process/dispatch/worker-state.js";
 import type { RunRecord } from "../../process/dispatch/worker-state.js";
-import type { JobBook } from "../../process/jobs/job-book.js";
+import type { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { JobSpec, StepSpec } from "../../process/jobs/job-spec.js";
 import { GuardedStore } from "../../process/journal/guarded-store.js";
 import { loadJournal } from "../../process/journal/load-journal.js";
@@ -104,7 +104,7 @@
 export interface TestLeader {
     readonly leader: Leader;
     readonly epoch: number;
-    readonly book: JobBook;
+    readonly book: JobRegistry;
     readonly clock: PausableClock;
     readonly storePath: CallPath;
     readonly workers: FakeTaskWorkers;
@@ -241,7 +241,7 @@
         const lease = new LeaderLease({
             port,
             clock,
-            life: own.life,
+            incarnation: own.life,
             leaderRevision: claim.revision,
             getLastContact: () => store.getLastContact(),
             observeContact: sentAt => store.observeContact(sentAt),
@@ -275,7 +275,7 @@
             },
         });
         leader.setWorkers(new Map(this.records));
-        return { leader, epoch: claim.epoch, book: loaded.book, clock, storePath, workers, log, deposed };
+        return { leader, epoch: claim.epoch, book: loaded.jobs, clock, storePath, workers, log, deposed };
     }
 
     /** Shows a leader the worker list as it is now. */
--- a/src/test/leader/order-refusals_test.ts
+++ b/src/test/leader/order-refusals_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import { OrderRefusals } from "../../process/leader/order-refusals.js";
 import { makeJobId, makeSpec } from "./leader-cell.js";
 
@@ -13,7 +13,7 @@
     it("pauses a worker as after a first refusal if the last one is long past", () => {
         // A service's task stood still for ten seconds beside the only worker that fits it. That worker had refused single
         // orders over hours and had taken the next one each time; each refusal doubled the pause for the rest of the step's life.
-        const book = new JobBook();
+        const book = new JobRegistry();
         book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
         const [step] = book.listRunnable();
         assert(step !== undefined);
@@ -27,7 +27,7 @@
     });
 
     it("pauses it for longer with each refusal that follows soon", () => {
-        const book = new JobBook();
+        const book = new JobRegistry();
         book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
         const [step] = book.listRunnable();
         assert(step !== undefined);
--- a/src/test/leader/permit-desk_test.ts
+++ b/src/test/leader/permit-desk_test.ts
@@ -5,7 +5,7 @@
 import { AdviceDesk } from "../../process/dispatch/advice-desk.js";
 import type { PermitWish } from "../../process/dispatch/plan.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
-import { JobBook } from "../../process/jobs/job-book.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import { PermitDesk } from "../../process/leader/permit-desk.js";
 import type { QueueConfig } from "../../version/cluster-config.js";
 import { FakeClock } from "../fakes/fake-clock.js";
@@ -20,7 +20,7 @@
     readonly clock = new FakeClock();
     readonly advice = new AdviceDesk(this.clock, createFakeLog());
     readonly desk: PermitDesk;
-    private readonly book = new JobBook();
+    private readonly book = new JobRegistry();
 
     constructor() {
         const { clock } = this;
--- a/src/test/leader/unheld-runs_test.ts
+++ b/src/test/leader/unheld-runs_test.ts
@@ -1,8 +1,8 @@
 /** Tasks that the book holds as assigned while nothing has their run. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { JobBook } from "../../process/jobs/job-book.js";
 import type { JobEvent } from "../../process/jobs/job-events.js";
+import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { LeaderContext } from "../../process/leader/context.js";
 import { UnheldRuns } from "../../process/leader/unheld-runs.js";
 import { createFakeLog } from "../fakes/fake-telemetry.js";
@@ -77,7 +77,7 @@
     ];
     for (const { name, rounds, held, named, steps } of cases) {
         it(name, () => {
-            const book = new JobBook();
+            const book = new JobRegistry();
             const spec = makeSpec({ taskCount: 3 });
             book.apply({ type: "accepted", jobId: JOB_ID, queue: "batch", spec, at: 0 });
             const log = createFakeLog();
--- a/src/test/leader/worker-losses_test.ts
+++ b/src/test/leader/worker-losses_test.ts
@@ -4,7 +4,7 @@
 import type { Millis } from "../../common/clock.js";
 import { buildJob, buildOccurrence } from "../../process/jobs/build-job.js";
 import type { Task } from "../../process/jobs/job.js";
-import { computeLossPause, isCrasher, isSuspect } from "../../process/jobs/worker-losses.js";
+import { computeLossBackoff, isCrasher, isSuspect } from "../../process/jobs/worker-losses.js";
 import { makeJobId, makeSpec } from "./leader-cell.js";
 
 /** Makes a task with losses: `c` for each worker that surely crashed, `s` for each that was only silent; capitals for late ones. */
@@ -49,7 +49,7 @@
             const task = makeTask(losses);
             assert.equal(isSuspect(task), runsAlone);
             assert.equal(isCrasher(task), isGivenUp);
-            assert.equal(computeLossPause(task), pauseMs);
+            assert.equal(computeLossBackoff(task), pauseMs);
         });
     }
 });
--- a/src/test/model/slow-turn_test.ts
+++ b/src/test/model/slow-turn_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { computeSlowness } from "../../process/leadership/slow-leader.js";
+import { computeTimeoutFactor } from "../../process/leadership/timeout-factor.js";
 import { ModelCluster } from "./model-cluster.js";
 
 const STEP_MS: Millis = 100;
@@ -57,7 +57,7 @@
     ];
     for (const { name, cores, factor } of cases) {
         it(`gives ${name} ${factor} times the usual time`, () => {
-            assert.equal(computeSlowness(cores), factor);
+            assert.equal(computeTimeoutFactor(cores), factor);
         });
     }
 });
--- a/src/test/node/leader-lease_test.ts
+++ b/src/test/node/leader-lease_test.ts
@@ -38,7 +38,7 @@
             const lease = new LeaderLease({
                 port: new FakeStorePort(store, path),
                 clock,
-                life: "life",
+                incarnation: "life",
                 leaderRevision,
                 getLastContact: () => lastContact,
                 observeContact: sentAt => lastContact = sentAt,
