--- a/src/process/node/cluster-node.ts
+++ b/src/process/node/cluster-node.ts
@@ -1,8 +1,9 @@
 /**
- * One node of the cluster: it answers callers, through the leader, and leads when its turn comes.
+ * A node of the cluster: it serves callers through the leader and can become the leader itself.
  *
- * @remarks All nodes are alike and any number of them may be lost. The store's leader record says who leads; a claim
- * is one conditional write and needs nobody's consent, so the last node standing goes on alone.
+ * @remarks All nodes are equal and any number of them may fail. The leader record in the store names the
+ * leader. A claim is a single conditional write that needs no quorum of nodes, so even the last remaining
+ * node can lead.
  */
 import type { Millis } from "../../common/clock.js";
 import type { LinkNetwork } from "../../connection/link-network.js";
@@ -10,52 +11,52 @@
 import { EpochHistory } from "../leadership/epoch-history.js";
 import type { SourceHandle } from "../ports/cluster-sources.js";
 import type { AdvicePort } from "../ports/task-worker-port.js";
-import { serveCaller } from "./caller-way.js";
-import type { WayToLeader } from "./caller-way.js";
-import { ClaimPatience } from "./claim-patience.js";
-import { CatchUpPatience, ConfigCatchUp } from "./config-catch-up.js";
+import { CatchUpDelay, ConfigCatchUp } from "./config-catch-up.js";
 import { isMuchLarger } from "./larger-node.js";
 import { LeaderFollower } from "./leader-follower.js";
-import { LeaderNotes } from "./leader-notes.js";
-import { LeaderReach } from "./leader-reach.js";
+import { LeaderNotifier } from "./leader-notifier.js";
+import { LeaderReachability } from "./leader-reachability.js";
 import { LeaderSearch } from "./leader-search.js";
-import { LeaderSeat } from "./leader-seat.js";
-import type { LeadingParts, WonClaim } from "./leader-seat.js";
+import { LeaderStartupGrace } from "./leader-startup-grace.js";
+import { LeadershipTerm } from "./leadership-term.js";
+import type { LeadershipOptions, WonClaim } from "./leadership-term.js";
 import { LinkServer } from "./link-server.js";
 import type { InboundLink } from "./link-server.js";
-import type { LeaderHint, NodeAnswer, NodeCall, NodeNote, StatusNote } from "./messages.js";
-import { PeerBook } from "./peer-book.js";
+import type { LeaderHint, NodeAnswer, NodeCall, NodeNotification, NodeStatus } from "./messages.js";
+import { PeerRegistry } from "./peer-registry.js";
 import { addRemoteCaller } from "./remote-advice.js";
+import { serveCaller } from "./serve-caller.js";
+import type { LeaderRoute } from "./serve-caller.js";
 
-/** What a node is made from. */
-export interface ClusterNodeOptions extends Omit<LeadingParts, "epochs"> {
+/** Dependencies and settings of a node. */
+export interface ClusterNodeOptions extends Omit<LeadershipOptions, "epochs"> {
     readonly name: string;
     readonly host: string;
     /** Connections to and from other nodes. */
     readonly network: LinkNetwork;
-    /** Port for links of other nodes; 0 lets the operating system pick one. */
+    /** Port for links from other nodes; 0 lets the operating system pick one. */
     readonly port: number;
     readonly advicePort: AdvicePort;
-    /** Processor time of the VM, in cores: large nodes lead rather than small ones. */
+    /** Processor time of the VM, in cores. Larger nodes are preferred as leader. */
     readonly cores: number;
 }
 
-/** A leader that gave its place to another node claims it back if nobody has led for this long. */
-const HEIR_PATIENCE_MS: Millis = 1_000;
+/** A leader that stepped down claims the leadership back if its successor has not claimed it by then. */
+const SUCCESSOR_TIMEOUT_MS: Millis = 1_000;
 
-/** The node; see the module comment. */
+/** A node that follows the leader, or leads. */
 export class ClusterNode {
     private readonly server: LinkServer;
     private address = "";
-    private seat: LeaderSeat | undefined;
+    private term: LeadershipTerm | undefined;
     private readonly follower: LeaderFollower;
-    private configHandle: SourceHandle | undefined;
-    private readonly knownCallers = new WeakSet<InboundLink>();
+    private configWatch: SourceHandle | undefined;
+    private readonly identifiedLinks = new WeakSet<InboundLink>();
     private readonly search: LeaderSearch;
-    private readonly notes: LeaderNotes;
+    private readonly notifier: LeaderNotifier;
     private readonly epochs = new EpochHistory();
-    /** The leadership that this node gave to another one. */
-    private given: { readonly epoch: number; readonly at: Millis; } | undefined;
+    /** The leadership that this node last gave up. */
+    private handover: { readonly epoch: number; readonly at: Millis; } | undefined;
     private isDraining = false;
     private closed = false;
 
@@ -63,14 +64,14 @@
 
     constructor(private readonly options: ClusterNodeOptions) {
         this.catchUp = new ConfigCatchUp(options);
-        const peers = new PeerBook(options.random, options.network);
+        const peers = new PeerRegistry(options.random, options.network);
         const shared = {
             ...options,
             peers,
             catchUp: this.catchUp,
-            reach: new LeaderReach(),
+            reachability: new LeaderReachability(),
             epochs: this.epochs,
-            patience: new ClaimPatience(),
+            startupGrace: new LeaderStartupGrace(),
             buildStatus: () => this.buildStatus(),
             isDraining: () => this.isDraining,
             isClosed: () => this.closed,
@@ -79,124 +80,123 @@
         this.search = new LeaderSearch({
             ...shared,
             follower: this.follower,
-            isLeftToHeir: epoch => this.isLeftToHeir(epoch),
+            isReservedForSuccessor: epoch => this.isReservedForSuccessor(epoch),
             runLeadership: claim => this.runLeadership(claim),
         });
-        this.notes = new LeaderNotes({
+        this.notifier = new LeaderNotifier({
             ...shared,
             getLinks: () => this.server.links,
-            getSeat: () => this.seat,
+            getTerm: () => this.term,
         });
         this.server = new LinkServer(options.network, options.clock, options.log, {
             buildStatus: () => this.buildStatus(),
             handleCall: body => this.handleCall(body),
-            handleNote: (inbound, note) => this.handleInboundNote(inbound, note),
+            handleNotification: (inbound, note) => this.handleInboundNotification(inbound, note),
             handleClosed: inbound => this.handleInboundClosed(inbound),
         });
     }
 
-    /** Opens the node's port and starts to look for a leader. */
+    /** Opens the node's port and starts the search for a leader. */
     async open(): Promise<void> {
         const { options } = this;
         const port = await this.server.open(options.host, options.port);
         this.address = `${options.host}:${port}`;
-        options.config.subscribe(() => this.seat?.handleConfig());
-        this.configHandle = options.configSource.follow(config => options.config.accept(config, "store"));
+        options.config.subscribe(() => this.term?.handleConfig());
+        this.configWatch = options.configSource.follow(config => options.config.accept(config, "store"));
         void this.search.run();
     }
 
-    /** Tells whether callers' requests can be answered here. */
+    /** Returns whether this node can serve callers. */
     isReady(): boolean {
-        const hasLeader = this.seat?.isReady() === true ||
+        const hasLeader = this.term?.isReady() === true ||
             this.follower.getLeaderStatus()?.leadsEpoch !== undefined;
         return !this.isDraining && this.options.config.get().version > 0 && hasLeader;
     }
 
     /**
-     * Answers a caller's request.
-     * @param request - What is asked.
-     * @param patience - Milliseconds that the caller waits.
+     * Serves a caller's request through the leader.
+     * @param timeoutMs - How long the caller waits for its answer.
      */
-    serve(request: CallerRequest, patience: Millis): Promise<CallerReply> {
-        return serveCaller(this.buildWay(), request, patience);
+    serve(request: CallerRequest, timeoutMs: Millis): Promise<CallerReply> {
+        return serveCaller(this.buildLeaderRoute(), request, timeoutMs);
     }
 
-    /** Builds what this node says of itself to others. */
-    buildStatus(): StatusNote {
+    /** Builds the status that this node sends to other nodes. */
+    buildStatus(): NodeStatus {
         return {
             kind: "status",
             nodeName: this.options.name,
             address: this.address,
-            leadsEpoch: this.seat?.claim.epoch,
-            isLoading: this.seat?.isReady() === false,
+            leadsEpoch: this.term?.claim.epoch,
+            isLoading: this.term?.isReady() === false,
             leader: this.findHint(),
-            heardEpoch: this.seat?.claim.epoch ?? this.follower.getHeardEpoch(),
-            storeSilenceMs: this.seat?.getStoreSilenceMs() ?? 0,
-            latenessMs: Math.round(this.seat?.getLatenessMs() ?? 0),
+            heardEpoch: this.term?.claim.epoch ?? this.follower.getConnectedEpoch(),
+            storeSilenceMs: this.term?.getStoreSilenceMs() ?? 0,
+            latenessMs: Math.round(this.term?.getLatenessMs() ?? 0),
             configVersion: this.options.config.get().version,
             cores: this.options.cores,
             isDraining: this.isDraining,
         };
     }
 
-    /** First step of a shutdown: the leadership goes to another node; callers are still answered. */
+    /** First step of a shutdown: hands the leadership over. Callers are still served. */
     async startDraining(): Promise<void> {
         this.isDraining = true;
         this.follower.sendStatus();
-        const heir = [...this.server.links].find(inbound => inbound.status?.isDraining === false);
-        await this.releaseLeadership("this node shuts down", heir);
+        const successor = [...this.server.links].find(inbound => inbound.status?.isDraining === false);
+        await this.releaseLeadership("this node shuts down", successor);
     }
 
-    /** Last step of a shutdown. */
+    /** Last step of a shutdown: closes all links and the port. */
     close(): void {
         this.closed = true;
-        void this.seat?.leave("this node has shut down");
-        this.configHandle?.stop();
-        this.notes.close();
+        void this.term?.release("this node has shut down");
+        this.configWatch?.stop();
+        this.notifier.close();
         this.follower.close("this node shuts down");
         this.server.close();
     }
 
-    /** Gives the leadership up, to a node that can take it where there is one. */
-    private async releaseLeadership(reason: string, heir: InboundLink | undefined): Promise<void> {
-        const { seat } = this;
-        if (seat === undefined) {
+    /** Steps down, and notifies the successor if there is one. */
+    private async releaseLeadership(reason: string, successor: InboundLink | undefined): Promise<void> {
+        const { term } = this;
+        if (term === undefined) {
             return;
         }
-        const { epoch } = seat.claim;
-        this.given = { epoch, at: this.options.clock.now() };
-        await seat.leave(reason);
-        heir?.link.note({ kind: "handover", epoch } satisfies NodeNote);
+        const { epoch } = term.claim;
+        this.handover = { epoch, at: this.options.clock.now() };
+        await term.release(reason);
+        successor?.link.note({ kind: "handover", epoch } satisfies NodeNotification);
     }
 
-    /** Leads under a claim that was won, until another node leads or this one gives its place up. */
+    /** Leads under a claim that was won, until this node is deposed or steps down. */
     private async runLeadership(claim: WonClaim): Promise<void> {
         const { options } = this;
-        const seat = new LeaderSeat({ ...options, epochs: this.epochs }, claim);
-        this.seat = seat;
-        this.addCallers(seat);
-        this.notes.publishMembers();
-        this.notes.noteSilence(seat);
+        const term = new LeadershipTerm({ ...options, epochs: this.epochs }, claim);
+        this.term = term;
+        this.addCallers(term);
+        this.notifier.publishMembers();
+        this.notifier.watchStoreSilence(term);
         options.log.info("leadershipWon", { epoch: claim.epoch, wasHandedOver: claim.wasHandedOver });
-        await seat.over;
-        this.seat = undefined;
+        await term.ended;
+        this.term = undefined;
     }
 
-    private addCallers(seat: LeaderSeat): void {
+    private addCallers(term: LeadershipTerm): void {
         const { advicePort, name } = this.options;
-        seat.addCaller({
+        term.addCaller({
             nodeName: name,
             requestPermits: (step, workerIds, timeout) => advicePort.requestPermits(step, workerIds, timeout),
         });
-        this.server.links.forEach(inbound => addRemoteCaller(seat, inbound));
+        this.server.links.forEach(inbound => addRemoteCaller(term, inbound));
     }
 
-    /** How callers' requests reach the leader from here, at the moment that each is tried. */
-    private buildWay(): WayToLeader {
+    /** Builds the route to the leader. It is evaluated anew for each attempt of a request. */
+    private buildLeaderRoute(): LeaderRoute {
         return {
             clock: this.options.clock,
             hasConfig: () => this.options.config.get().version > 0,
-            getSeat: () => this.seat,
+            getTerm: () => this.term,
             getLink: () => this.follower.getLink()?.link,
             offerConfig: () => this.follower.offerConfig(),
         };
@@ -212,56 +212,56 @@
             );
             return { kind: "advised", answer };
         }
-        const { seat } = this;
-        return seat === undefined ?
+        const { term } = this;
+        return term === undefined ?
             { kind: "notLeading" } :
-            { kind: "served", reply: await seat.serve(call.request) };
+            { kind: "served", reply: await term.serve(call.request) };
     }
 
-    private handleInboundNote(inbound: InboundLink, note: NodeNote): void {
-        if (note.kind === "config") {
-            this.options.config.accept(note.config, "follower");
+    private handleInboundNotification(inbound: InboundLink, notification: NodeNotification): void {
+        if (notification.kind === "config") {
+            this.options.config.accept(notification.config, "follower");
         }
-        if (note.kind === "configWanted") {
-            this.catchUp.sendNewer(inbound, note.version);
+        if (notification.kind === "configWanted") {
+            this.catchUp.sendNewer(inbound, notification.version);
         }
-        if (note.kind === "offer") {
-            this.acceptOffer(inbound, note.epoch);
+        if (notification.kind === "offer") {
+            this.acceptOffer(inbound, notification.epoch);
         }
-        if (note.kind !== "status") {
+        if (notification.kind !== "status") {
             return;
         }
-        this.catchUp.observeVersion(inbound, note.configVersion, CatchUpPatience.leader);
-        if (this.seat !== undefined && !this.knownCallers.has(inbound)) {
-            addRemoteCaller(this.seat, inbound);
-            this.notes.publishMembers();
+        this.catchUp.observeVersion(inbound, notification.configVersion, CatchUpDelay.leader);
+        if (this.term !== undefined && !this.identifiedLinks.has(inbound)) {
+            addRemoteCaller(this.term, inbound);
+            this.notifier.publishMembers();
         }
-        this.knownCallers.add(inbound);
+        this.identifiedLinks.add(inbound);
     }
 
-    /** Lets a follower on a much larger VM lead. */
+    /** Hands over to a follower on a much larger VM that offers to lead. */
     private acceptOffer(inbound: InboundLink, epoch: number): void {
-        const { seat } = this;
+        const { term } = this;
         const isUsable = inbound.status !== undefined && !inbound.status.isDraining &&
             isMuchLarger(inbound.status.cores, this.options.cores);
-        if (isUsable && seat?.isReady() === true && seat.claim.epoch === epoch && !this.isGiven(epoch)) {
+        if (isUsable && term?.isReady() === true && term.claim.epoch === epoch && !this.isHandedOver(epoch)) {
             void this.releaseLeadership("a larger node can lead", inbound);
         }
     }
 
-    private isGiven(epoch: number): boolean {
-        return this.given?.epoch === epoch;
+    private isHandedOver(epoch: number): boolean {
+        return this.handover?.epoch === epoch;
     }
 
-    /** Tells whether the place of an epoch was given away so short a time ago that the next claim is the heir's. */
-    private isLeftToHeir(epoch: number): boolean {
-        const { given } = this;
-        return given?.epoch === epoch && this.options.clock.now() - given.at < HEIR_PATIENCE_MS;
+    /** Returns whether this node handed an epoch over so recently that the next claim is the successor's. */
+    private isReservedForSuccessor(epoch: number): boolean {
+        const { handover } = this;
+        return handover?.epoch === epoch && this.options.clock.now() - handover.at < SUCCESSOR_TIMEOUT_MS;
     }
 
     private findHint(): LeaderHint | undefined {
-        if (this.seat !== undefined) {
-            return { epoch: this.seat.claim.epoch, address: this.address };
+        if (this.term !== undefined) {
+            return { epoch: this.term.claim.epoch, address: this.address };
         }
         const status = this.follower.getLeaderStatus();
         return status?.leadsEpoch === undefined ?
@@ -272,14 +272,14 @@
     private handleInboundClosed(inbound: InboundLink): void {
         const nodeName = inbound.status?.nodeName;
         const remaining = [...this.server.links].find(other => other.status?.nodeName === nodeName);
-        if (nodeName === undefined || this.seat === undefined) {
+        if (nodeName === undefined || this.term === undefined) {
             return;
         }
         if (remaining === undefined) {
-            this.seat.removeCaller(nodeName);
+            this.term.removeCaller(nodeName);
             return;
         }
-        // The newest link of a node is its way to the advice service; kept after its end, every question over it would fail.
-        addRemoteCaller(this.seat, remaining);
+        // Advice requests through a node use its newest link and would all fail if it were kept once closed.
+        addRemoteCaller(this.term, remaining);
     }
 }
--- a/src/process/node/leader-dialer.ts
+++ b/src/process/node/leader-dialer.ts
@@ -1,56 +1,54 @@
-/** A follower's link to its leader. */
+/** Opens links to a leader, or to another node that is queried for its status. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { LinkNetwork, LinkSocket } from "../../connection/link-network.js";
 import { LINK_TICK_MS, LinkSide, NodeLink } from "../../connection/node-link.js";
-import { acceptNote } from "./link-note.js";
-import type { LinkPeer } from "./link-note.js";
-import type { NodeNote, StatusNote } from "./messages.js";
+import { acceptNotification } from "./link-peer.js";
+import type { LinkPeer } from "./link-peer.js";
+import type { NodeNotification, NodeStatus } from "./messages.js";
 
-/** How an attempt to reach a node ended. */
+/** Result of an attempt to connect to a node. */
 export type DialResult =
     | { readonly kind: "up"; readonly link: LeaderLink; }
     /** Nothing listens there. */
     | { readonly kind: "refused"; }
     | { readonly kind: "silent"; };
 
-/** What a link to the leader tells its owner. */
+/** Callbacks of a link's owner. */
 export interface LeaderLinkOwner {
-    buildStatus(): StatusNote;
+    buildStatus(): NodeStatus;
     handleCall(body: unknown): Promise<unknown>;
-    handleNote(link: LeaderLink, note: NodeNote): void;
-    /** Factor by which the leader is given more time than usual before its link counts as silent. */
+    handleNotification(link: LeaderLink, note: NodeNotification): void;
+    /** Factor on the time after which the leader's link counts as silent; 1 by default. */
     readonly slowness?: number;
 }
 
-/** Time for a connection, and for the first status over it. */
+/** Time for a connection to be established. */
 const DIAL_TIMEOUT_MS: Millis = 500;
 
-const LATE_TURNS = 3;
+const LATENESS_FACTOR = 3;
 const MAX_EXTRA_TICKS = 12;
 
-/** A link to the leader. */
+/** The opening end of a link to a node, usually the leader. */
 export class LeaderLink implements LinkPeer {
-    /** Last status of the other end. */
-    status: StatusNote | undefined;
+    /** The other end's last status. */
+    status: NodeStatus | undefined;
 
     /**
-     * @param link - The connection.
-     * @param closed - Resolves when the link is closed.
-     * @param firstStatus - Resolves when the other end has said who it is.
+     * @param closed - Resolves with the reason when the link is closed.
+     * @param firstStatus - Resolves when the other end's first status has arrived.
      */
     constructor(
         readonly link: NodeLink,
         readonly closed: Promise<string>,
-        readonly firstStatus: Promise<StatusNote>,
+        readonly firstStatus: Promise<NodeStatus>,
     ) {}
 }
 
 /**
  * Opens a link.
- * @param network - Reaches the address.
  * @param address - `host:port`.
- * @param clock - For the link.
- * @param owner - Told of what arrives.
+ * @param clock - Drives heartbeats and timeouts of the link.
+ * @param owner - Receives calls and notifications from the other end.
  */
 export async function connectToLeader(
     network: LinkNetwork,
@@ -63,8 +61,8 @@
 
     function openLink(socket: LinkSocket): LeaderLink {
         let settleClosed: (message: string) => void = () => undefined;
-        let settleStatus: (note: StatusNote) => void = () => undefined;
-        const firstStatus = new Promise<StatusNote>(resolve => {
+        let settleStatus: (notification: NodeStatus) => void = () => undefined;
+        const firstStatus = new Promise<NodeStatus>(resolve => {
             settleStatus = resolve;
         });
         const closed = new Promise<string>(resolve => {
@@ -74,12 +72,12 @@
             buildBeat: () => owner.buildStatus(),
             handleCall: body => owner.handleCall(body),
             handleNote: body => {
-                const note = acceptNote(leaderLink, body);
-                if (note?.kind === "status") {
-                    settleStatus(note);
+                const notification = acceptNotification(leaderLink, body);
+                if (notification?.kind === "status") {
+                    settleStatus(notification);
                 }
-                if (note !== undefined) {
-                    owner.handleNote(leaderLink, note);
+                if (notification !== undefined) {
+                    owner.handleNotification(leaderLink, notification);
                 }
             },
             handleClosed: message => settleClosed(message),
@@ -99,9 +97,9 @@
     }
 }
 
-/** An end that has said that it is late is given the time of a few of its turns more. */
-function computeExtraTicks(status: StatusNote | undefined, slowness: number): number {
-    const extraMs = (status?.latenessMs ?? 0) * LATE_TURNS;
+/** Extends the silence timeout on slow VMs, and by a few times the lateness that the leader reports. */
+function computeExtraTicks(status: NodeStatus | undefined, slowness: number): number {
+    const extraMs = (status?.latenessMs ?? 0) * LATENESS_FACTOR;
     const usualTicks = LinkSide.follower.maxQuietTicks;
     return Math.max(
         Math.round(usualTicks * (slowness - 1)),
--- a/src/process/node/leader-search.ts
+++ b/src/process/node/leader-search.ts
@@ -1,36 +1,36 @@
-/** A node's search for a leader, over and over: it follows the one that it finds, or claims the place. */
+/** The loop in which a node finds and follows the current leader, or claims the leadership. */
 import type { Millis } from "../../common/clock.js";
 import { sleep } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import { claimLeadership, readLeader } from "../leadership/leader-record.js";
 import type { LeaderView } from "../leadership/leader-record.js";
-import { computeClaimTurn } from "./claim-order.js";
-import { computeClaimDelay, computeFirstClaimDelay } from "./larger-node.js";
+import { computeStaggerDelay } from "./claim-order.js";
+import { computeFirstClaimDelay, computeSmallNodeDelay } from "./larger-node.js";
 import type { LeaderFollower, LeaderFollowerOptions } from "./leader-follower.js";
-import type { WonClaim } from "./leader-seat.js";
+import type { WonClaim } from "./leadership-term.js";
 
-/** What a search is made from. */
+/** Dependencies of the search. */
 export interface LeaderSearchOptions extends Omit<LeaderFollowerOptions, "config" | "handleCall"> {
-    /** This node's name. */
+    /** This node's name, as in the leader record. */
     readonly name: string;
-    /** Unique for this life of the process. */
-    readonly life: string;
+    /** Identifies this incarnation of the process. */
+    readonly incarnation: string;
     readonly random: Random;
     readonly follower: LeaderFollower;
-    /** Tells whether this node gave the leadership of an epoch away a moment ago, and leaves the next claim to the heir. */
-    readonly isLeftToHeir: (epoch: number) => boolean;
-    /** Leads under a claim; resolves once that is over. */
+    /** Returns whether this node handed an epoch over so recently that the next claim is the successor's. */
+    readonly isReservedForSuccessor: (epoch: number) => boolean;
+    /** Leads under a claim; resolves once the leadership has ended. */
     readonly runLeadership: (claim: WonClaim) => Promise<void>;
 }
 
 const READ_TIMEOUT_MS: Millis = 500;
 const STORE_RETRY_MS: Millis = 150;
-const RELOOK_MS: Millis = 100;
+const REREAD_DELAY_MS: Millis = 100;
 const FAILED_SEARCH_PAUSE_MS: Millis = 1_000;
-/** Spread of the claims of nodes that do not know of each other, so that one usually wins before the others try. */
+/** Jitter of claims by nodes that know no other node, so that one usually wins before the others try. */
 const CLAIM_SPREAD_MS: Millis = 60;
 
-/** The search; see the module comment. */
+/** Searches for a leader until the node is closed. */
 export class LeaderSearch {
     constructor(private readonly options: LeaderSearchOptions) {}
 
@@ -48,9 +48,9 @@
         }
     }
 
-    /** Follows a leader until it is gone, or leads, or finds that the store is silent. */
+    /** One round: follows the leader until it is lost, or claims the leadership and leads until that ends. */
     private async followOrClaim(): Promise<void> {
-        const { clock, storePort, log, epochs, patience } = this.options;
+        const { clock, storePort, log, epochs, startupGrace } = this.options;
         const view = await readLeader(storePort, READ_TIMEOUT_MS);
         if (view === undefined) {
             await this.followHint();
@@ -60,46 +60,46 @@
         epochs.observe(view.record?.epoch ?? 0, clock.now());
         const reason = await this.findClaimReason(view);
         if (reason === undefined) {
-            await sleep(clock, RELOOK_MS);
+            await sleep(clock, REREAD_DELAY_MS);
             return;
         }
-        if (!await this.waitForTurn(view)) {
+        if (!await this.waitToClaim(view)) {
             return;
         }
         log.info("leadershipClaimed", {
             reason,
             lastEpoch: view.record?.epoch,
             lastLeader: view.record?.nodeName,
-            failedBefore: patience.countFailedBefore(view.record),
+            failedBefore: startupGrace.countFailedBefore(view.record),
         });
         await this.claim(view);
     }
 
-    /** Follows the leader for as long as it is there; returns why to claim its place, or undefined to look again. */
+    /** Follows the leader, if any. Returns why to claim the leadership; undefined for another round. */
     private async findClaimReason(view: LeaderView): Promise<string | undefined> {
         const { record } = view;
-        const { name, cores, clock, follower, isDraining, isLeftToHeir } = this.options;
+        const { name, cores, clock, follower, isDraining, isReservedForSuccessor } = this.options;
         if (isDraining()) {
-            // A node that leaves still follows, so that its last callers are answered.
+            // A node that shuts down still follows, so that its last callers are served.
             return record === undefined ? undefined : follower.follow(view);
         }
         if (record === undefined) {
             await sleep(clock, computeFirstClaimDelay(cores));
-            return "nobody leads yet";
+            return "no node has led yet";
         }
-        if (isLeftToHeir(record.epoch)) {
+        if (isReservedForSuccessor(record.epoch)) {
             return undefined;
         }
         if (record.nodeName === name) {
-            return "the leader was an earlier life of this node";
+            return "the leader was an earlier incarnation of this node";
         }
-        if (follower.isHeirOf(record.epoch)) {
+        if (follower.isSuccessorOf(record.epoch)) {
             return "the leader handed over";
         }
         return follower.follow(view);
     }
 
-    /** Finds the leader through other nodes while the store turns this one away. */
+    /** Finds the leader through other nodes while the store refuses this one, and follows it. */
     private async followHint(): Promise<void> {
         const { clock, peers, follower, buildStatus, isClosed } = this.options;
         const hint = await peers.findLeader(clock, buildStatus);
@@ -111,49 +111,53 @@
     }
 
     /**
-     * Lets nodes with an earlier turn claim first, unless the place was given to this one.
-     * @returns Whether the place is still as it was seen.
+     * Lets nodes ahead in the order of claims claim first, unless the leader handed over to this node.
+     * @returns Whether the leader record is unchanged.
      */
-    private async waitForTurn(view: LeaderView): Promise<boolean> {
+    private async waitToClaim(view: LeaderView): Promise<boolean> {
         const { clock, storePort, cores, follower } = this.options;
-        if (follower.isHeirOf(view.record?.epoch)) {
+        if (follower.isSuccessorOf(view.record?.epoch)) {
             return true;
         }
-        const delay = computeClaimDelay(cores, this.options.peers.getMostCores()) + this.computeTurn(view);
+        const delay = computeSmallNodeDelay(cores, this.options.peers.getMaxCores()) +
+            this.computeStagger(view);
         if (delay === 0) {
             return true;
         }
         await sleep(clock, delay);
-        const now = await readLeader(storePort, READ_TIMEOUT_MS);
-        return now?.revision === view.revision;
+        const current = await readLeader(storePort, READ_TIMEOUT_MS);
+        return current?.revision === view.revision;
     }
 
-    private computeTurn({ record }: LeaderView): Millis {
+    private computeStagger({ record }: LeaderView): Millis {
         const { peers, cores, random, buildStatus } = this.options;
         const own = { address: buildStatus().address, cores };
-        const turn = record === undefined ? undefined : computeClaimTurn(peers.getMembers(), own, record);
-        return turn ?? random.pickInt(CLAIM_SPREAD_MS);
+        const staggerMs = record === undefined ?
+            undefined :
+            computeStaggerDelay(peers.getMembers(), own, record);
+        return staggerMs ?? random.pickInt(CLAIM_SPREAD_MS);
     }
 
-    /** Claims the place that was seen, and leads if the claim is won. */
+    /** Claims the leadership if the leader record is unchanged, and leads if the claim is won. */
     private async claim(view: LeaderView): Promise<void> {
-        const { name, life, cores, clock, log, storePort, reach, epochs, patience } = this.options;
-        const wasHandedOver = this.options.follower.isHeirOf(view.record?.epoch);
+        const { name, incarnation, cores, clock, log, storePort, reachability, epochs, startupGrace } =
+            this.options;
+        const wasHandedOver = this.options.follower.isSuccessorOf(view.record?.epoch);
         const own = {
             nodeName: name,
             address: this.options.buildStatus().address,
-            life,
+            life: incarnation,
             cores,
-            failedBefore: patience.countFailedBefore(view.record),
+            failedBefore: startupGrace.countFailedBefore(view.record),
         };
         const result = await claimLeadership(storePort, view, own, READ_TIMEOUT_MS);
         if (result.kind !== "won" || this.options.isClosed()) {
             log.info("claimFailed", { result: result.kind });
             return;
         }
-        reach.observeClaim();
+        reachability.observeClaim();
         epochs.observe(result.epoch, clock.now());
         await this.options.runLeadership({ epoch: result.epoch, revision: result.revision, wasHandedOver });
-        reach.observeDeposed(clock.now());
+        reachability.observeDeposed(clock.now());
     }
 }
--- a/src/process/node/leader-seat.ts
+++ b/src/process/node/leadership-term.ts
@@ -1,4 +1,4 @@
-/** This node's leadership: from a claim that was won until another node leads or the node shuts down. */
+/** This node's leadership, from a won claim until it is deposed or steps down. */
 import { sleep } from "../../common/clock.js";
 import type { Clock, Millis } from "../../common/clock.js";
 import { LatenessMeter } from "../../common/lateness.js";
@@ -20,8 +20,8 @@
 import type { Log, Metrics } from "../telemetry.js";
 import type { ConfigHolder } from "./config-holder.js";
 
-/** What leading needs. */
-export interface LeadingParts {
+/** Dependencies and settings of a leader. */
+export interface LeadershipOptions {
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
@@ -31,11 +31,11 @@
     readonly workerSource: WorkerSource;
     readonly configSource: ConfigSource;
     readonly config: ConfigHolder;
-    readonly life: string;
+    readonly incarnation: string;
     /** Processor time of this VM, in cores. */
     readonly cores: number;
     readonly epochs: EpochHistory;
-    /** Longest lease that workers give. */
+    /** Longest lease that workers grant. */
     readonly maxLeaseMs: Millis;
 }
 
@@ -43,55 +43,52 @@
 export interface WonClaim {
     readonly epoch: number;
     readonly revision: number;
-    /** Whether the earlier leader gave its place up, so that its right to order workers has ended. */
+    /** Whether the previous leader stepped down, so that its authority over workers has ended. */
     readonly wasHandedOver: boolean;
 }
 
 /**
- * Length of the leases of what runs: longer than a take-over after a silent death, in which nobody renews. What is lost
- * with an unreachable worker starts again only after this time.
+ * Lease of a running task. It outlasts a takeover after a silent failure, during which nobody renews leases.
+ * Tasks of an unreachable worker are restarted only after this time.
  */
 const LEASE_MS: Millis = 4_500;
-/** Part of the workers' longest lease that is used at most: they cut longer ones short. */
+/** Upper bound of a lease as a share of the workers' longest: they cut longer ones short. */
 const MAX_LEASE_SHARE = 0.9;
-/** A leader that shuts down waits this long for what it has decided to be durable. */
-const FLUSH_MS: Millis = 400;
+/** How long a leader that steps down waits for its decisions to become durable. */
+const FLUSH_TIMEOUT_MS: Millis = 400;
 
-/** The seat; see the module comment. */
-export class LeaderSeat {
-    /** Resolves once the leadership is over. */
-    readonly over: Promise<string>;
+/** Loads the journal, runs the leader and ends it when the leadership is lost. */
+export class LeadershipTerm {
+    /** Resolves with the reason once the leadership has ended. */
+    readonly ended: Promise<string>;
     private readonly store: GuardedStore;
     private readonly lateness: LatenessMeter;
     private readonly ready: Promise<Leader | undefined>;
     private leader: Leader | undefined;
     private lease: LeaderLease | undefined;
-    private workers: SourceHandle | undefined;
+    private workerWatch: SourceHandle | undefined;
     private readonly callers = new Map<string, AdviceCaller>();
     private isOver = false;
-    private settleOver: (reason: string) => void = () => undefined;
+    private settleEnded: (reason: string) => void = () => undefined;
 
-    /**
-     * @param parts - What leading needs.
-     * @param claim - The claim.
-     */
-    constructor(private readonly parts: LeadingParts, readonly claim: WonClaim) {
-        this.over = new Promise(resolve => {
-            this.settleOver = resolve;
+    /** Starts to lead under a claim that was won. */
+    constructor(private readonly options: LeadershipOptions, readonly claim: WonClaim) {
+        this.ended = new Promise(resolve => {
+            this.settleEnded = resolve;
         });
-        this.lateness = new LatenessMeter(parts.clock);
+        this.lateness = new LatenessMeter(options.clock);
         this.store = new GuardedStore({
-            port: parts.storePort,
-            clock: parts.clock,
-            log: parts.log,
-            metrics: parts.metrics,
+            port: options.storePort,
+            clock: options.clock,
+            log: options.log,
+            metrics: options.metrics,
             leaderRevision: claim.revision,
             getResponsiveMs: () => this.lateness.getAttentiveMs(),
         });
         this.ready = this.open();
     }
 
-    /** Answers a caller's request, once the journal is loaded. */
+    /** Serves a caller's request once the journal is loaded. */
     async serve(request: CallerRequest): Promise<CallerReply> {
         const leader = await this.ready;
         return leader === undefined || this.isOver ?
@@ -99,43 +96,43 @@
             leader.serve(request);
     }
 
-    /** Tells whether it has loaded the journal and decides. */
+    /** Returns whether the journal is loaded and the leadership has not ended. */
     isReady(): boolean {
         return this.leader !== undefined && !this.isOver;
     }
 
-    /** Returns for how long writes have waited while the store answered nothing. */
+    /** Returns how long writes have waited without any answer from the store. */
     getStoreSilenceMs(): Millis {
         return this.store.getSilenceMs();
     }
 
-    /** Returns how late this process was within the last second. */
+    /** Returns how late this process's timers were within the last second. */
     getLatenessMs(): Millis {
         return this.lateness.getLatenessMs();
     }
 
-    /** Takes in that a newer configuration is in force. */
+    /** Applies a configuration that has come into force. */
     handleConfig(): void {
         this.leader?.handleConfig();
     }
 
-    /** Adds a node that can ask the advice service. */
+    /** Adds a node through which the advice service can be called. */
     addCaller(caller: AdviceCaller): void {
         this.callers.set(caller.nodeName, caller);
         this.leader?.addCaller(caller);
     }
 
-    /** Removes a node that is gone. */
+    /** Removes a node that has disconnected. */
     removeCaller(nodeName: string): void {
         this.callers.delete(nodeName);
         this.leader?.advice.removeCaller(nodeName);
     }
 
-    /** Gives the leadership up: what was decided becomes durable first, if that is quick. */
-    async leave(reason: string): Promise<void> {
-        const { clock } = this.parts;
+    /** Steps down, after waiting a short time for decisions to become durable. */
+    async release(reason: string): Promise<void> {
+        const { clock } = this.options;
         if (this.leader !== undefined) {
-            await Promise.race([this.leader.flush(), sleep(clock, FLUSH_MS)]);
+            await Promise.race([this.leader.flush(), sleep(clock, FLUSH_TIMEOUT_MS)]);
         }
         this.end(reason);
     }
@@ -145,18 +142,20 @@
             return;
         }
         this.isOver = true;
-        this.parts.log.warn("CR1631", "leadershipOver", { epoch: this.claim.epoch, reason });
-        this.workers?.stop();
+        this.options.log.warn("CR1631", "leadershipOver", { epoch: this.claim.epoch, reason });
+        this.workerWatch?.stop();
         this.lateness.close();
         this.lease?.close();
         this.leader?.close();
         this.store.close();
-        this.settleOver(reason);
+        this.settleEnded(reason);
     }
 
-    /** What nobody can read is named, and the place is left: nothing may be decided without it. */
+    /**
+     * Loads the journal. If it cannot be read, logs that and steps down: nothing may be decided without it.
+     */
     private async loadJournal(): Promise<LoadedJournal | undefined> {
-        const { storePort: port, clock, log } = this.parts;
+        const { storePort: port, clock, log } = this.options;
         try {
             return await loadJournal({ port, clock, log, isOver: () => this.isOver });
         }
@@ -168,59 +167,59 @@
     }
 
     private async open(): Promise<Leader | undefined> {
-        const { parts, claim } = this;
-        const { clock, log } = parts;
+        const { options, claim } = this;
+        const { clock, log } = options;
         const begin = clock.now();
         const lease = new LeaderLease({
-            port: parts.storePort,
+            port: options.storePort,
             clock,
-            incarnation: parts.life,
+            incarnation: options.incarnation,
             leaderRevision: claim.revision,
-            ttlFactor: computeTimeoutFactor(parts.cores),
+            ttlFactor: computeTimeoutFactor(options.cores),
             getLastContact: () => this.store.getLastContact(),
             observeContact: sentAt => this.store.observeContact(sentAt),
             observeAnswer: tookMs => this.store.observeAnswer(tookMs),
             handleDeposed: reason => this.end(reason),
         });
         this.lease = lease;
-        // The list is read beside the journal: both take a while when a new leader has little processor time.
-        let listed: ReadonlyMap<string, WorkerRecord> | undefined;
-        this.workers = parts.workerSource.follow(records => {
-            listed = records;
+        // Workers are listed while the journal loads: both are slow on a VM with little processor time.
+        let listedWorkers: ReadonlyMap<string, WorkerRecord> | undefined;
+        this.workerWatch = options.workerSource.follow(records => {
+            listedWorkers = records;
             this.leader?.setWorkers(records);
         });
         const loaded = await this.loadJournal();
         if (loaded === undefined || this.isOver) {
             return undefined;
         }
-        const leaseMs = Math.min(LEASE_MS, parts.maxLeaseMs * MAX_LEASE_SHARE);
+        const leaseMs = Math.min(LEASE_MS, options.maxLeaseMs * MAX_LEASE_SHARE);
         const leader = new Leader({
             clock,
             log,
-            metrics: parts.metrics,
+            metrics: options.metrics,
             epoch: claim.epoch,
             store: this.store,
             loaded,
-            workerPort: parts.workerPort,
+            workerPort: options.workerPort,
             leaseMs,
             inheritedLeases: new InheritedLeases({
                 epoch: claim.epoch,
                 wasHandedOver: claim.wasHandedOver,
                 begin,
-                history: parts.epochs,
+                history: options.epochs,
                 leaseMs,
                 unconfirmedMs: MAX_UNCONFIRMED_MS,
             }),
-            getConfig: () => parts.config.get(),
+            getConfig: () => options.config.get(),
             confirmLeading: () => lease.confirm(),
-            random: parts.random,
+            random: options.random,
             lateness: this.lateness,
             handleDeposed: reason => this.end(reason),
         });
         this.leader = leader;
         this.callers.forEach(caller => leader.addCaller(caller));
-        if (listed !== undefined) {
-            leader.setWorkers(listed);
+        if (listedWorkers !== undefined) {
+            leader.setWorkers(listedWorkers);
         }
         log.info("leadershipReady", {
             epoch: claim.epoch,
--- a/src/process/node/link-server.ts
+++ b/src/process/node/link-server.ts
@@ -1,35 +1,33 @@
-/** Takes links from other nodes and keeps those that are up. */
+/** Accepts links from other nodes and keeps those that are open. */
 import type { Clock, Timer } from "../../common/clock.js";
 import type { LinkListener, LinkNetwork, LinkSocket } from "../../connection/link-network.js";
 import { encodeBeatFrame, LINK_TICK_MS, LinkSide, NodeLink } from "../../connection/node-link.js";
 import type { Log } from "../telemetry.js";
-import { acceptNote } from "./link-note.js";
-import type { LinkPeer } from "./link-note.js";
-import type { NodeNote, StatusNote } from "./messages.js";
+import { acceptNotification } from "./link-peer.js";
+import type { LinkPeer } from "./link-peer.js";
+import type { NodeNotification, NodeStatus } from "./messages.js";
 
 /** A link that another node opened. */
 export type InboundLink = LinkPeer;
 
-/** What the server tells its owner. */
+/** Callbacks of the server's owner. */
 export interface LinkServerOwner {
-    buildStatus(): StatusNote;
+    buildStatus(): NodeStatus;
     handleCall(body: unknown): Promise<unknown>;
-    handleNote(inbound: InboundLink, note: NodeNote): void;
+    handleNotification(inbound: InboundLink, note: NodeNotification): void;
     handleClosed(inbound: InboundLink): void;
 }
 
-/** The server; see the module comment. */
+/** Listens for links from other nodes and sends heartbeats over them. */
 export class LinkServer {
-    /** The links that are up. */
+    /** The open links. */
     readonly links = new Set<InboundLink>();
     private listener: LinkListener | undefined;
     private timer: Timer | undefined;
 
     /**
-     * @param network - Where links come from.
-     * @param clock - For the links.
-     * @param log - For sockets that fail.
-     * @param owner - Told of what arrives.
+     * @param clock - Drives heartbeats and timeouts of the links.
+     * @param owner - Receives calls and notifications, and is notified of closed links.
      */
     constructor(
         private readonly network: LinkNetwork,
@@ -38,7 +36,11 @@
         private readonly owner: LinkServerOwner,
     ) {}
 
-    /** Starts to listen; rejects if the port cannot be had. Resolves with the port. */
+    /**
+     * Starts listening.
+     * @returns The port in use.
+     * @throws If the port cannot be opened.
+     */
     async open(host: string, port: number): Promise<number> {
         this.listener = await this.network.listen(
             host,
@@ -64,7 +66,7 @@
         });
     }
 
-    /** All followers get the same status: it is encoded once. */
+    /** Sends heartbeats. All followers get the same status, so it is encoded only once. */
     private tickLinks(): void {
         let frame: Buffer | undefined;
         const encodeBeat = (): Buffer => frame ??= encodeBeatFrame(this.owner.buildStatus());
@@ -77,7 +79,7 @@
         const link = new NodeLink(socket, this.clock, {
             buildBeat: () => this.owner.buildStatus(),
             handleCall: body => this.owner.handleCall(body),
-            handleNote: body => this.receiveNote(inbound, body),
+            handleNote: body => this.receiveNotification(inbound, body),
             handleClosed: message => {
                 this.links.delete(inbound);
                 this.log.info("linkClosed", { peer: inbound.status?.nodeName, message });
@@ -88,10 +90,10 @@
         this.links.add(inbound);
     }
 
-    private receiveNote(inbound: InboundLink, body: unknown): void {
-        const note = acceptNote(inbound, body);
-        if (note !== undefined) {
-            this.owner.handleNote(inbound, note);
+    private receiveNotification(inbound: InboundLink, body: unknown): void {
+        const notification = acceptNotification(inbound, body);
+        if (notification !== undefined) {
+            this.owner.handleNotification(inbound, notification);
         }
     }
 }
--- a/src/process/node/remote-advice.ts
+++ b/src/process/node/remote-advice.ts
@@ -1,7 +1,7 @@
-/** Followers as callers of the advice service, which serves one call at a time for each calling VM. */
+/** Calls the advice service through followers, as it serves only one call at a time for each calling VM. */
 import { z } from "zod";
 import type { AdviceAnswer } from "../ports/task-worker-port.js";
-import type { LeaderSeat } from "./leader-seat.js";
+import type { LeadershipTerm } from "./leadership-term.js";
 import type { InboundLink } from "./link-server.js";
 import type { NodeCall } from "./messages.js";
 
@@ -17,13 +17,13 @@
     ]),
 });
 
-/** Adds the node at the other end of a link, once it has said its name. */
-export function addRemoteCaller(seat: Pick<LeaderSeat, "addCaller">, inbound: InboundLink): void {
+/** Adds the node at the other end of a link as a caller of the advice service, if its status is known. */
+export function addRemoteCaller(term: Pick<LeadershipTerm, "addCaller">, inbound: InboundLink): void {
     const nodeName = inbound.status?.nodeName;
     if (nodeName === undefined) {
         return;
     }
-    seat.addCaller({
+    term.addCaller({
         nodeName,
         requestPermits: async (step, workerIds, timeoutMs) => {
             const call: NodeCall = { kind: "advise", step, workerIds, timeoutMs };
@@ -36,10 +36,10 @@
 }
 
 /**
- * Reads a node's answer.
+ * Decodes a node's answer.
  *
- * @remarks Failure guarded against: a node answers with something else, and reading a field of it that is not there ends the
- * leader's process. What cannot be read is a question that failed, and is put again.
+ * @remarks An answer of another shape counts as a failed request, which is retried. Without the check, access
+ * to a missing field would end the leader's process.
  */
 function decodeAdvice(body: unknown): AdviceAnswer {
     const parsed = advisedSchema.safeParse(body);
--- a/src/process/node/caller-way.ts
+++ b/src/process/node/serve-caller.ts
@@ -1,66 +1,66 @@
-/** A caller's request on its way to the leader, through changes of the leader. */
+/** Routes a caller's request to the current leader and retries it when the leader changes. */
 import { sleep } from "../../common/clock.js";
 import type { Clock, Millis } from "../../common/clock.js";
 import type { NodeLink } from "../../connection/node-link.js";
 import { RefusalReason } from "../leader/requests.js";
 import type { CallerReply, CallerRequest } from "../leader/requests.js";
-import type { LeaderSeat } from "./leader-seat.js";
+import type { LeadershipTerm } from "./leadership-term.js";
 import type { NodeAnswer, NodeCall } from "./messages.js";
 
-/** How the leader is reached from a node now. */
-export interface WayToLeader {
+/** How a node reaches the leader at present. */
+export interface LeaderRoute {
     readonly clock: Clock;
-    /** Whether any configuration has been seen. */
+    /** Whether this node has received any configuration. */
     readonly hasConfig: () => boolean;
-    /** Set where this node leads. */
-    readonly getSeat: () => LeaderSeat | undefined;
-    /** Set where this node follows. */
+    /** Returns this node's own leadership; undefined while another node leads. */
+    readonly getTerm: () => LeadershipTerm | undefined;
+    /** Returns the link to the leader; undefined while this node follows none. */
     readonly getLink: () => NodeLink | undefined;
-    /** Gives the leader a configuration that it lacks; tells whether it does. */
+    /** Sends the leader this node's configuration if the leader's is older; returns whether it is. */
     readonly offerConfig: () => boolean;
 }
 
-/** Time that a request waits for a leader before it is refused: a take-over usually takes less. */
-const LEADER_PATIENCE_MS: Millis = 700;
+/** How long a request waits for a leader before it is refused. Most takeovers finish sooner. */
+const LEADER_WAIT_MS: Millis = 700;
 /**
- * Part of a caller's time for which an answer in doubt is waited for. What is in doubt for longer mostly stays so for
- * seconds, as the store is away; told so early, the caller asks again, at another node, while that still helps it.
+ * Share of the caller's timeout after which a request with an unknown outcome is given up. An outcome that is
+ * unknown for longer usually stays so for seconds, because the store is unavailable. An early answer leaves
+ * the caller time to retry at another node.
  */
 const IN_DOUBT_SHARE = 0.45;
 const RETRY_MS: Millis = 40;
-/** When a caller may come back: take-overs after a silent death take up to this long. */
+/** Retry delay sent to callers: a takeover after a leader died silently takes up to this long. */
 const NO_LEADER_RETRY_MS: Millis = 1_000;
 
 /**
- * Answers a request. Every request is idempotent, so one whose answer was lost is sent again to the next leader.
+ * Serves a request through the leader. Requests are idempotent, so one whose answer was lost is sent again to
+ * the next leader.
  *
- * @remarks Failure guarded against: a caller is told "refused" although the leader that died had accepted its job. A
- * request that any leader may have acted on is never refused here; it ends as unknown, in time to be sent again.
- * @param way - How the leader is reached.
- * @param request - What is asked.
- * @param patience - Milliseconds that the caller waits.
+ * @remarks A request that any leader may have acted on ends as unknown, never as refused: otherwise a caller
+ * could be told "refused" although a leader that died since had accepted its job.
+ * @param timeoutMs - How long the caller waits for its answer.
  */
 export async function serveCaller(
-    way: WayToLeader,
+    route: LeaderRoute,
     request: CallerRequest,
-    patience: Millis,
+    timeoutMs: Millis,
 ): Promise<CallerReply> {
-    const { clock } = way;
+    const { clock } = route;
     const begin = clock.now();
-    const limit = patience * IN_DOUBT_SHARE;
+    const limit = timeoutMs * IN_DOUBT_SHARE;
     let mayHaveRun = false;
     while (clock.now() - begin < limit) {
-        if (!way.hasConfig()) {
+        if (!route.hasConfig()) {
             return { kind: "refused", reason: RefusalReason.noConfig, retryAfterMs: NO_LEADER_RETRY_MS };
         }
-        const reply = await tryServe(way, request, limit - (clock.now() - begin));
+        const reply = await tryServe(route, request, limit - (clock.now() - begin));
         mayHaveRun ||= reply?.kind === "unknown";
-        // A leader refuses for itself: one that is cut off knows nothing of what another one has done.
+        // A refusal covers only its sender: a partitioned leader does not know what another leader did.
         const isInDoubt = reply?.kind === "unknown" || reply?.kind === "refused" && mayHaveRun;
         if (reply !== undefined && !isInDoubt) {
             return reply;
         }
-        if (!mayHaveRun && clock.now() - begin > LEADER_PATIENCE_MS) {
+        if (!mayHaveRun && clock.now() - begin > LEADER_WAIT_MS) {
             return { kind: "refused", reason: RefusalReason.noLeader, retryAfterMs: NO_LEADER_RETRY_MS };
         }
         await sleep(clock, RETRY_MS);
@@ -70,17 +70,20 @@
         { kind: "refused", reason: RefusalReason.noLeader, retryAfterMs: NO_LEADER_RETRY_MS };
 }
 
-/** Tries once; undefined means that no leader was asked, or one that lacks this node's configuration. */
+/**
+ * Makes one attempt.
+ * @returns Undefined if no leader received the request, or if the leader's configuration is outdated.
+ */
 async function tryServe(
-    way: WayToLeader,
+    route: LeaderRoute,
     request: CallerRequest,
     remaining: Millis,
 ): Promise<CallerReply | undefined> {
-    const seat = way.getSeat();
-    if (seat !== undefined) {
-        return waitForReply(seat.serve(request), way.clock, remaining);
+    const term = route.getTerm();
+    if (term !== undefined) {
+        return waitForReply(term.serve(request), route.clock, remaining);
     }
-    const link = way.getLink();
+    const link = route.getLink();
     if (link === undefined) {
         return undefined;
     }
@@ -89,13 +92,13 @@
         return { kind: "unknown", message: answer.message };
     }
     const body = answer.body as NodeAnswer;
-    if (body.kind !== "served" || body.reply.kind === "noQueue" && way.offerConfig()) {
+    if (body.kind !== "served" || body.reply.kind === "noQueue" && route.offerConfig()) {
         return undefined;
     }
     return body.reply;
 }
 
-/** The leader on this node answers when the store has, however long that takes. */
+/** Bounds the wait for the leader on this node, which answers only once the store has answered. */
 function waitForReply(reply: Promise<CallerReply>, clock: Clock, limit: Millis): Promise<CallerReply> {
     return new Promise(resolve => {
         const timer = clock.schedule(limit, () => {
--- a/src/test/model/model-cluster.ts
+++ b/src/test/model/model-cluster.ts
@@ -67,7 +67,7 @@
             log,
             metrics: createFakeMetrics(),
             random: this.random,
-            life: makeUniqueId(this.random),
+            incarnation: makeUniqueId(this.random),
             storePort: new FakeStorePort(this.store, new ModelStoreWay(this.clock, vm)),
             config: new ConfigHolder(log),
             configSource: {
--- a/src/test/node/node-cell.ts
+++ b/src/test/node/cluster-fixture.ts
@@ -1,4 +1,4 @@
-/** Nodes with real links on loopback, over one store and workers without I/O. */
+/** Fixture: nodes with TCP links over loopback, on an in-memory store and worker. */
 import { randomInt } from "node:crypto";
 import { systemClock } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
@@ -34,16 +34,16 @@
 export interface TestNode {
     readonly node: ClusterNode;
     readonly config: ConfigHolder;
-    /** The node's own: while it is paused the node sends nothing by itself. */
+    /** The node's own clock: while it is paused, no timers fire and the node sends nothing unprompted. */
     readonly clock: PausableClock;
     readonly storePath: CallPath;
     readonly log: FakeLog;
-    /** Steps that this node asked the advice service about. */
-    readonly asked: string[];
+    /** Steps for which this node requested permits from the advice service. */
+    readonly advisedSteps: string[];
 }
 
-/** The cell; see the module comment. */
-export class NodeCell {
+/** A cluster of nodes that share a store and a worker. */
+export class ClusterFixture {
     readonly store = new StoreModel(systemClock);
     readonly starts: string[] = [];
     private readonly nodes: TestNode[] = [];
@@ -57,17 +57,17 @@
     });
 
     /**
-     * @param config - Seen by every node, where the node's own does not differ.
+     * @param config - Configuration of nodes that are started without one of their own.
      */
     constructor(private readonly config: ClusterConfig = makeConfig(1)) {}
 
-    /** Starts a node. */
+    /** Starts a node and opens its port. */
     async startNode(name: string, config: ClusterConfig = this.config, cores = 1): Promise<TestNode> {
         const clock = new PausableClock(systemClock);
         const storePath = this.createPath(clock);
         const log = createFakeLog(true);
         const holder = new ConfigHolder(log);
-        const asked: string[] = [];
+        const advisedSteps: string[] = [];
         const node = new ClusterNode({
             name,
             host: "127.0.0.1",
@@ -77,7 +77,7 @@
             log,
             metrics: createFakeMetrics(),
             random: this.random,
-            life: makeUniqueId(createRandom(randomInt(2 ** 31))),
+            incarnation: makeUniqueId(createRandom(randomInt(2 ** 31))),
             storePort: new FakeStorePort(this.store, storePath),
             config: holder,
             configSource: buildConfigSource(config),
@@ -85,7 +85,7 @@
             workerPort: new FakeTaskWorkers(() => this.model, () => this.createPath(clock)),
             advicePort: {
                 requestPermits(step): Promise<AdviceAnswer> {
-                    asked.push(step);
+                    advisedSteps.push(step);
                     return Promise.resolve({ kind: "done", permits: [{ workerId: "w1", token: "permit" }] });
                 },
             },
@@ -93,7 +93,7 @@
             cores,
         });
         await node.open();
-        const started = { node, config: holder, clock, storePath, log, asked };
+        const started = { node, config: holder, clock, storePath, log, advisedSteps };
         this.nodes.push(started);
         return started;
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/** Builds a configuration with the usual queue. */
+/** Builds a configuration with the default queue. */
 export function makeConfig(version: number, change: Partial<ClusterConfig> = {}): ClusterConfig {
     return {
         version,
--- a/src/test/node/cluster-node_test.ts
+++ b/src/test/node/cluster-node_test.ts
@@ -1,4 +1,4 @@
-/** Nodes that find, follow and replace a leader. */
+/** Nodes that find, follow and replace a leader, connected by TCP. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { sleep, systemClock } from "../../common/clock.js";
@@ -6,16 +6,16 @@
 import { createTcpNetwork } from "../../connection/link-network.js";
 import { ALIVE_KEY } from "../../process/journal/keys.js";
 import type { CallerReply } from "../../process/leader/requests.js";
-import { PeerBook } from "../../process/node/peer-book.js";
+import { PeerRegistry } from "../../process/node/peer-registry.js";
 import { waitUntil } from "../fakes/wait-until.js";
 import { makeSpec, QUEUE } from "../leader/leader-cell.js";
-import { CALL_MS, makeAddress, makeConfig, NodeCell } from "./node-cell.js";
-import type { TestNode } from "./node-cell.js";
+import { CALL_MS, ClusterFixture, makeAddress, makeConfig } from "./cluster-fixture.js";
+import type { TestNode } from "./cluster-fixture.js";
 
-async function startNodes(cell: NodeCell, count: number): Promise<readonly TestNode[]> {
+async function startNodes(cluster: ClusterFixture, count: number): Promise<readonly TestNode[]> {
     const nodes: TestNode[] = [];
     for (let number = 1; number <= count; number++) {
-        nodes.push(await cell.startNode(`node-${number}`));
+        nodes.push(await cluster.startNode(`node-${number}`));
         await waitUntil(() => nodes.at(-1)?.node.isReady() === true, `node ${number} is ready`);
     }
     return nodes;
@@ -25,7 +25,7 @@
     return node?.log.lines.some(line => line.event === event) === true;
 }
 
-/** Returns how many nodes a node was last told of. */
+/** Returns the length of the list of members that a node last received. */
 function countPeers(node: TestNode | undefined): unknown {
     return node?.log.lines.findLast(line => line.event === "peersChanged")?.fields.nodes;
 }
@@ -33,7 +33,7 @@
 const MAX_TRIES = 200;
 const RETRY_MS = 40;
 
-/** Hands a job in until it is not refused, as a caller does that is told when to come back. */
+/** Submits a job until it is not refused, like a caller that retries. */
 async function waitForAnswer(node: TestNode | undefined, number: number): Promise<CallerReply | undefined> {
     for (let tries = 0; tries < MAX_TRIES; tries++) {
         const reply = await node?.node.serve(
@@ -49,24 +49,24 @@
 }
 
 describe("ClusterNode", () => {
-    it("answers callers at every node, and each knows every job", async () => {
-        const cell = new NodeCell();
-        const [first, second] = await startNodes(cell, 2);
+    it("serves callers at every node, and each node shows every job", async () => {
+        const cluster = new ClusterFixture();
+        const [first, second] = await startNodes(cluster, 2);
         const accepted = await second?.node.serve(
             { kind: "submit", ...makeAddress(1), spec: makeSpec({}) },
             CALL_MS,
         );
         assert.deepEqual(accepted, { kind: "accepted" });
-        await waitUntil(() => cell.starts.length === 1, "the task has started");
+        await waitUntil(() => cluster.starts.length === 1, "the task has started");
         const shown = await first?.node.serve({ kind: "show", ...makeAddress(1) }, CALL_MS);
         assert.equal(shown?.kind, "state");
-        await cell.close();
+        await cluster.close();
     });
 
-    it("hands the leadership over when it shuts down, and goes on answering", async () => {
-        // Guards against callers of a node that shuts down who get no answer over connections that are open.
-        const cell = new NodeCell();
-        const [first, second] = await startNodes(cell, 2);
+    it("hands the leadership over when it shuts down, and still serves callers", async () => {
+        // Guards against a node that shuts down and no longer answers callers on open connections.
+        const cluster = new ClusterFixture();
+        const [first, second] = await startNodes(cluster, 2);
         await first?.node.startDraining();
         assert.equal(first?.node.isReady(), false);
         const reply = await first?.node.serve(
@@ -75,13 +75,13 @@
         );
         assert.deepEqual(reply, { kind: "accepted" });
         assert.ok(hasLine(second, "leadershipWon"));
-        await cell.close();
+        await cluster.close();
     });
 
     it("takes over from a leader that can no longer reach the store", async () => {
-        // Guards against callers who are refused for as long as the store turns the leader away.
-        const cell = new NodeCell();
-        const [first, second] = await startNodes(cell, 2);
+        // Guards against callers that are refused for as long as the store refuses the leader.
+        const cluster = new ClusterFixture();
+        const [first, second] = await startNodes(cluster, 2);
         if (first !== undefined) {
             first.storePath.faults.unreachable = true;
         }
@@ -92,14 +92,14 @@
             CALL_MS,
         );
         assert.deepEqual(reply, { kind: "accepted" });
-        await waitUntil(() => hasLine(first, "leadershipOver"), "the first node knows");
-        await cell.close();
+        await waitUntil(() => hasLine(first, "leadershipOver"), "the first node has noticed");
+        await cluster.close();
     });
 
-    it("finds the new leader through other nodes while the store turns it away", async () => {
-        // Guards against a node that refuses every caller while it cannot read who leads.
-        const cell = new NodeCell();
-        const [first, second, third] = await startNodes(cell, 3);
+    it("finds the new leader through other nodes while the store refuses it", async () => {
+        // Guards against a node that refuses every caller while it cannot read the leader record.
+        const cluster = new ClusterFixture();
+        const [first, second, third] = await startNodes(cluster, 3);
         for (const node of [first, second]) {
             if (node !== undefined) {
                 node.storePath.faults.unreachable = true;
@@ -111,31 +111,31 @@
             const reply = await waitForAnswer(node, 2);
             assert.deepEqual(reply, { kind: "accepted" });
         }
-        await cell.close();
+        await cluster.close();
     });
 
     it("takes over from a leader whose port no longer answers", async () => {
-        const cell = new NodeCell();
-        const [first, second] = await startNodes(cell, 2);
+        const cluster = new ClusterFixture();
+        const [first, second] = await startNodes(cluster, 2);
         first?.node.close();
         const reply = await second?.node.serve(
             { kind: "submit", ...makeAddress(1), spec: makeSpec({}) },
             CALL_MS,
         );
         assert.deepEqual(reply, { kind: "accepted" });
-        await cell.close();
+        await cluster.close();
     });
 
-    it("takes over from a leader that no node hears, though the store still keeps its lease", async () => {
-        // Guards against a wait for the lease of a leader whose VM has lost power.
-        const cell = new NodeCell();
-        const [first, second, third] = await startNodes(cell, 3);
+    it("takes over from a leader that no node can reach, though its lease is still live", async () => {
+        // Guards against waiting for the lease of a leader whose VM has lost power.
+        const cluster = new ClusterFixture();
+        const [first, second, third] = await startNodes(cluster, 3);
         await waitUntil(
             () => [second, third].every(node => countPeers(node) === 3),
-            "the nodes know of each other",
+            "the nodes know each other",
         );
         try {
-            cell.store.putDirectly(ALIVE_KEY, "a lease that does not end");
+            cluster.store.putDirectly(ALIVE_KEY, "a lease that does not end");
             first?.clock.pause();
             const claims = [second, third];
             await waitUntil(
@@ -146,37 +146,37 @@
                 .filter(line => line.event === "leadershipClaimed")
                 .map(line => line.fields?.reason);
             assert.ok(
-                reasons.includes("the leader's link is silent, and no other node hears it"),
+                reasons.includes("the leader's link is silent and no other node can reach it"),
                 reasons.join(),
             );
         }
         finally {
             first?.clock.resume();
-            await cell.close();
+            await cluster.close();
         }
     });
 
-    it("leaves a leader alone that another node still hears", async () => {
-        // Guards against a change of the leader because one node lost its way to it.
-        const book = new PeerBook(createRandom(3), createTcpNetwork(systemClock));
-        const cell = new NodeCell();
-        const [first, second] = await startNodes(cell, 2);
+    it("does not replace a leader that another node can still reach", async () => {
+        // Guards against a change of leader because a single node lost its link to the leader.
+        const registry = new PeerRegistry(createRandom(3), createTcpNetwork(systemClock));
+        const cluster = new ClusterFixture();
+        const [first, second] = await startNodes(cluster, 2);
         const status = second?.node.buildStatus();
         assert(status !== undefined && first !== undefined);
-        book.setMembers([{ address: status.address, cores: 1 }]);
+        registry.setMembers([{ address: status.address, cores: 1 }]);
         const leader = { epoch: 1, address: first.node.buildStatus().address };
         const own = { ...status, address: "127.0.0.1:1" };
-        assert.equal(await book.isUnheard(leader, systemClock, () => own), false);
-        assert.equal(await book.isUnheard({ ...leader, epoch: 2 }, systemClock, () => own), true);
-        await cell.close();
+        assert.equal(await registry.isUnreachable(leader, systemClock, () => own), false);
+        assert.equal(await registry.isUnreachable({ ...leader, epoch: 2 }, systemClock, () => own), true);
+        await cluster.close();
     });
 
-    it("lets the leader know a newer configuration before a request that needs it", async () => {
-        // Guards against "no such queue" from a leader whose watch is late.
-        const cell = new NodeCell(makeConfig(1, { queues: [] }));
-        const first = await cell.startNode("node-1");
+    it("sends the leader a newer configuration before a request that needs it", async () => {
+        // Guards against "no such queue" from a leader whose configuration watch is late.
+        const cluster = new ClusterFixture(makeConfig(1, { queues: [] }));
+        const first = await cluster.startNode("node-1");
         await waitUntil(() => first.node.isReady(), "the first node is ready");
-        const second = await cell.startNode("node-2", makeConfig(2));
+        const second = await cluster.startNode("node-2", makeConfig(2));
         await waitUntil(() => second.node.isReady(), "the second node is ready");
         const reply = await second.node.serve(
             { kind: "submit", ...makeAddress(1), spec: makeSpec({}) },
@@ -184,40 +184,40 @@
         );
         assert.deepEqual(reply, { kind: "accepted" });
         assert.equal(first.config.get().version, 2);
-        await cell.close();
+        await cluster.close();
     });
 
     it("never goes back to an older configuration", async () => {
-        const cell = new NodeCell(makeConfig(5));
-        const node = await cell.startNode("node-1");
-        node.config.accept(makeConfig(4, { queues: [] }), "a copy that lags");
+        const cluster = new ClusterFixture(makeConfig(5));
+        const node = await cluster.startNode("node-1");
+        node.config.accept(makeConfig(4, { queues: [] }), "a stale copy");
         assert.equal(node.config.get().queues.length, 1);
-        await cell.close();
+        await cluster.close();
     });
 
-    it("refuses callers while it knows no configuration", async () => {
-        const cell = new NodeCell(makeConfig(0));
-        const { node } = await cell.startNode("node-1");
+    it("refuses callers while it has no configuration", async () => {
+        const cluster = new ClusterFixture(makeConfig(0));
+        const { node } = await cluster.startNode("node-1");
         const reply = await node.serve({ kind: "show", ...makeAddress(1) }, CALL_MS);
         assert.equal(reply.kind, "refused");
         assert.equal(node.isReady(), false);
-        await cell.close();
+        await cluster.close();
     });
 
-    it("refuses a request that no leader was asked about, however little time its caller has", async () => {
-        // Guards against "nobody knows" about a request that nobody was asked about.
-        const cell = new NodeCell();
-        const [node] = await startNodes(cell, 1);
+    it("refuses a request that was sent to no leader, however short the caller's timeout", async () => {
+        // Guards against an unknown outcome of a request that was sent to no leader.
+        const cluster = new ClusterFixture();
+        const [node] = await startNodes(cluster, 1);
         const reply = await node?.node.serve({ kind: "submit", ...makeAddress(1), spec: makeSpec({}) }, -50);
         assert.equal(reply?.kind, "refused");
-        await cell.close();
+        await cluster.close();
     });
 
-    it("spreads questions to the advice service over all nodes", async () => {
-        // Guards against one caller of a service that serves one call at a time for each VM.
+    it("spreads requests to the advice service over all nodes", async () => {
+        // Guards against a single caller of a service that serves only one call at a time for each VM.
         const advice = { decideMs: 100, perWorkerMs: 1, validMs: 2_000 };
-        const cell = new NodeCell(makeConfig(1, { queues: [{ ...QUEUE, advice }] }));
-        const nodes = await startNodes(cell, 3);
+        const cluster = new ClusterFixture(makeConfig(1, { queues: [{ ...QUEUE, advice }] }));
+        const nodes = await startNodes(cluster, 3);
         const submitted = Array.from({ length: 12 }, (...[, number]) => {
             return nodes[0]?.node.serve(
                 { kind: "submit", ...makeAddress(number + 1), spec: makeSpec({}) },
@@ -225,8 +225,8 @@
             );
         });
         await Promise.all(submitted);
-        await waitUntil(() => cell.starts.length === 12, "all tasks have started");
-        assert.ok(nodes.every(node => node.asked.length > 0));
-        await cell.close();
+        await waitUntil(() => cluster.starts.length === 12, "all tasks have started");
+        assert.ok(nodes.every(node => node.advisedSteps.length > 0));
+        await cluster.close();
     });
 });
--- a/src/test/node/config-catch-up_test.ts
+++ b/src/test/node/config-catch-up_test.ts
@@ -1,37 +1,37 @@
-/** How many copies of a configuration pass between nodes. */
+/** Number of copies of a configuration that nodes send each other. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { CatchUpPatience, ConfigCatchUp } from "../../process/node/config-catch-up.js";
+import { CatchUpDelay, ConfigCatchUp } from "../../process/node/config-catch-up.js";
 import { ConfigHolder } from "../../process/node/config-holder.js";
-import type { LinkPeer } from "../../process/node/link-note.js";
-import type { NodeNote } from "../../process/node/messages.js";
+import type { LinkPeer } from "../../process/node/link-peer.js";
+import type { NodeNotification } from "../../process/node/messages.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 import { createFakeLog } from "../fakes/fake-telemetry.js";
-import { makeConfig } from "./node-cell.js";
+import { makeConfig } from "./cluster-fixture.js";
 
 const FOLLOWERS = 17;
 const BEAT_MS: Millis = 450;
 
-interface Side {
+interface ConfigNode {
     readonly catchUp: ConfigCatchUp;
     readonly config: ConfigHolder;
 }
 
-function makeSide(clock: FakeClock, version: number): Side {
+function makeConfigNode(clock: FakeClock, version: number): ConfigNode {
     const config = new ConfigHolder(createFakeLog());
     config.accept(makeConfig(version), "store");
     return { catchUp: new ConfigCatchUp({ clock, config }), config };
 }
 
-/** The other end of a link, with what is sent to it. */
-function makePeer(handle: (note: NodeNote) => void): LinkPeer {
+/** Makes the other end of a link, which handles what is sent to it. */
+function makePeer(handle: (note: NodeNotification) => void): LinkPeer {
     return { link: { note: handle }, status: undefined } as unknown as LinkPeer;
 }
 
 interface Case {
     readonly name: string;
-    /** When the leader's own watch has the new version; never where left out. */
+    /** When the leader's own watch delivers the new version; never by default. */
     readonly watchMs?: Millis;
     /** Time for a copy to reach the leader. */
     readonly copyMs: Millis;
@@ -39,17 +39,17 @@
 }
 
 const CASES: readonly Case[] = [
-    { name: "none where the leader's watch is a moment late", watchMs: 200, copyMs: 800, copies: 0 },
-    { name: "one where its watch says nothing", copyMs: 800, copies: 1 },
-    { name: "another one only after a time where the first takes long", copyMs: 2_500, copies: 2 },
+    { name: "none if the leader's watch is slightly late", watchMs: 200, copyMs: 800, copies: 0 },
+    { name: "one if its watch delivers nothing", copyMs: 800, copies: 1 },
+    { name: "a second one only after a while if the first is slow", copyMs: 2_500, copies: 2 },
 ];
 
 describe("followers that have a newer configuration than their leader", () => {
     for (const { name, watchMs, copyMs, copies } of CASES) {
-        it(`fill its link with few copies: ${name}`, async () => {
+        it(`send it few copies: ${name}`, async () => {
             const clock = new FakeClock();
-            const leader = makeSide(clock, 1);
-            const followers = Array.from({ length: FOLLOWERS }, () => makeSide(clock, 2));
+            const leader = makeConfigNode(clock, 1);
+            const followers = Array.from({ length: FOLLOWERS }, () => makeConfigNode(clock, 2));
             let sent = 0;
             const leaderPeer = makePeer(note => {
                 if (note.kind === "config") {
@@ -68,7 +68,7 @@
                         }
                     });
                     const { version } = follower.config.get();
-                    leader.catchUp.observeVersion(peer, version, CatchUpPatience.leader);
+                    leader.catchUp.observeVersion(peer, version, CatchUpDelay.leader);
                 }
                 await clock.step(BEAT_MS);
             }
@@ -77,9 +77,9 @@
         });
     }
 
-    it("send it unasked for a request that needs it, and not again at once", async () => {
+    it("send it unrequested when a request needs it, and not again at once", async () => {
         const clock = new FakeClock();
-        const { catchUp } = makeSide(clock, 2);
+        const { catchUp } = makeConfigNode(clock, 2);
         const sent: string[] = [];
         const peer = makePeer(({ kind }) => sent.push(kind));
         for (let at = 0; at < 1_000; at += 40) {
--- a/src/test/node/leader-lease_test.ts
+++ b/src/test/node/leader-lease_test.ts
@@ -1,4 +1,4 @@
-/** How a leader learns from the store that another one has its place. */
+/** How a leader detects through the store that it has been deposed. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -13,19 +13,19 @@
 
 interface SlownessCase {
     readonly name: string;
-    /** Added to each direction. */
+    /** Delay added in each direction. */
     readonly slowMs: Millis;
 }
 
 const cases: readonly SlownessCase[] = [
     { name: "at once", slowMs: 0 },
-    { name: "after most of a second, as over a link that is full", slowMs: 400 },
+    { name: "after most of a second, as over a saturated link", slowMs: 400 },
 ];
 
-describe("a leader whose place was taken while it wrote nothing", () => {
+describe("a leader that is deposed while it writes nothing", () => {
     for (const { name, slowMs } of cases) {
-        // Guards against a leader that goes on loading, and holds callers, long after it was replaced.
-        it(`knows soon when the store answers ${name}`, async () => {
+        // Guards against a leader that continues loading, and holds callers, long after it was replaced.
+        it(`detects it soon if the store answers ${name}`, async () => {
             const clock = new FakeClock();
             const store = new StoreModel(clock);
             const path = new CallPath(clock, new PausableClock(clock), {
--- a/src/test/node/odd-advice_test.ts
+++ b/src/test/node/remote-advice_test.ts
@@ -1,17 +1,17 @@
-/** Answers of other nodes to questions for the advice service. */
+/** Malformed answers of other nodes to requests for advice. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { LinkAnswer } from "../../connection/node-link.js";
 import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
-import type { LeaderSeat } from "../../process/node/leader-seat.js";
+import type { LeadershipTerm } from "../../process/node/leadership-term.js";
 import type { InboundLink } from "../../process/node/link-server.js";
 import { addRemoteCaller } from "../../process/node/remote-advice.js";
 
 function makeCaller(answer: LinkAnswer): AdviceCaller {
     const callers: AdviceCaller[] = [];
-    const seat = { addCaller: (caller: AdviceCaller) => callers.push(caller) };
+    const term = { addCaller: (caller: AdviceCaller) => callers.push(caller) };
     const inbound = { status: { nodeName: "node-2" }, link: { call: () => Promise.resolve(answer) } };
-    addRemoteCaller(seat as unknown as LeaderSeat, inbound as unknown as InboundLink);
+    addRemoteCaller(term as unknown as LeadershipTerm, inbound as unknown as InboundLink);
     assert(callers[0] !== undefined);
     return callers[0];
 }
@@ -34,13 +34,13 @@
             body: { kind: "advised", answer: { kind: "done", permits: [undefined] } },
             kind: "failed",
         },
-        { name: "a full line", body: { kind: "advised", answer: { kind: "busy" } }, kind: "busy" },
+        { name: "a busy service", body: { kind: "advised", answer: { kind: "busy" } }, kind: "busy" },
         { name: "permits", body: { kind: "advised", answer: { kind: "done", permits } }, kind: "done" },
     ];
     for (const { name, body, kind } of cases) {
-        it(`takes ${name} as ${kind}`, async () => {
-            // A node answers a question with something else. The leader read a field of it that is not there; the error was
-            // nobody's, the process ended, and with it the leadership.
+        it(`decodes ${name} as ${kind}`, async () => {
+            // Guards against a malformed answer that ends the leader's process: access to a missing field
+            // threw an error that nothing handled.
             const caller = makeCaller({ kind: "answered", body });
             const answer = await caller.requestPermits("step", ["w1"], 100);
             assert.equal(answer.kind, kind);
--- a/src/test/node/second-links_test.ts
+++ b/src/test/node/second-links_test.ts
@@ -1,4 +1,4 @@
-/** Nodes that have two links to the leader for a while. */
+/** Nodes that temporarily have two links to the leader. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { systemClock } from "../../common/clock.js";
@@ -6,19 +6,19 @@
 import { connectToLeader } from "../../process/node/leader-dialer.js";
 import { waitUntil } from "../fakes/wait-until.js";
 import { makeSpec, QUEUE } from "../leader/leader-cell.js";
-import { CALL_MS, makeAddress, makeConfig, NodeCell } from "./node-cell.js";
+import { CALL_MS, ClusterFixture, makeAddress, makeConfig } from "./cluster-fixture.js";
 
 const JOBS = 12;
 
 describe("a node whose second link to the leader is closed", () => {
-    it("is still asked to question the advice service", async context => {
-        // Guards against a closed second link that is kept as the node's way to the advice service.
+    it("is still used to call the advice service", async context => {
+        // Guards against a closed second link that the leader still uses for requests to the advice service.
         const advice = { decideMs: 100, perWorkerMs: 1, validMs: 2_000 };
-        const cell = new NodeCell(makeConfig(1, { queues: [{ ...QUEUE, advice }] }));
-        context.after(() => cell.close());
-        const leader = await cell.startNode("node-1");
+        const cluster = new ClusterFixture(makeConfig(1, { queues: [{ ...QUEUE, advice }] }));
+        context.after(() => cluster.close());
+        const leader = await cluster.startNode("node-1");
         await waitUntil(() => leader.node.isReady(), "node 1 is ready");
-        const follower = await cell.startNode("node-2");
+        const follower = await cluster.startNode("node-2");
         await waitUntil(() => follower.node.isReady(), "node 2 is ready");
         const second = await connectToLeader(
             createTcpNetwork(systemClock),
@@ -27,12 +27,12 @@
             {
                 buildStatus: () => follower.node.buildStatus(),
                 handleCall: () => Promise.resolve({ kind: "notLeading" }),
-                handleNote: () => undefined,
+                handleNotification: () => undefined,
             },
         );
         assert(second.kind === "up");
         await second.link.firstStatus;
-        second.link.link.close("the question was answered");
+        second.link.link.close("the status query has ended");
         await waitUntil(
             () => leader.log.lines.some(line => line.event === "linkClosed"),
             "the link is closed",
@@ -46,7 +46,7 @@
                 ),
         );
         await Promise.all(submitted);
-        await waitUntil(() => cell.starts.length === JOBS, "all tasks have started");
-        assert.ok(follower.asked.length > 0, "the node was not asked");
+        await waitUntil(() => cluster.starts.length === JOBS, "all tasks have started");
+        assert.ok(follower.advisedSteps.length > 0, "the node was not used");
     });
 });
--- a/src/test/node/silenced-leader_test.ts
+++ b/src/test/node/store-isolation-detector_test.ts
@@ -1,11 +1,11 @@
-/** When a leader that the store does not answer is replaced by a follower that it answers. */
+/** When a follower that can reach the store replaces a leader that cannot. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
 import { createRandom } from "../../common/random.js";
 import type { LeaderLink } from "../../process/node/leader-dialer.js";
-import type { StatusNote } from "../../process/node/messages.js";
-import { SilencedLeader } from "../../process/node/silenced-leader.js";
+import type { NodeStatus } from "../../process/node/messages.js";
+import { StoreIsolationDetector } from "../../process/node/store-isolation-detector.js";
 import { StoreModel } from "../../stand-ins/index.js";
 import { CallPath } from "../fakes/call-path.js";
 import { FakeClock } from "../fakes/fake-clock.js";
@@ -14,55 +14,55 @@
 
 interface Case {
     readonly name: string;
-    /** How long the store has answered the leader nothing. */
+    /** How long the leader has had no answer from the store. */
     readonly silenceMs: Millis;
-    /** How long ago the store last failed to answer this follower; undefined where it always did. */
+    /** How long ago this follower's last read failed; undefined if none did. */
     readonly ownFailureAgoMs: Millis | undefined;
     readonly isSlow: boolean;
-    /** How late the leader's own timers are. */
+    /** How late the leader's timers are. */
     readonly latenessMs?: Millis;
     readonly expected: boolean;
 }
 
-const LOOK_LIMIT_MS = 2_000;
+const READ_LIMIT_MS = 2_000;
 const CASES: readonly Case[] = [
     {
-        name: "replaces a leader that the store turns away, at once",
+        name: "replaces a leader that the store refuses, at once",
         silenceMs: 450,
         ownFailureAgoMs: undefined,
         isSlow: false,
         expected: true,
     },
     {
-        name: "leaves a leader alone that the store answers",
+        name: "keeps a leader that the store answers",
         silenceMs: 0,
         ownFailureAgoMs: undefined,
         isSlow: false,
         expected: false,
     },
     {
-        name: "leaves a leader alone while the store is slow for this node too",
+        name: "keeps a leader while the store is slow for this node too",
         silenceMs: 450,
         ownFailureAgoMs: undefined,
         isSlow: true,
         expected: false,
     },
     {
-        name: "leaves a leader time when the store has just come back for this node",
+        name: "keeps a leader when the store has only just recovered for this node",
         silenceMs: 4_200,
         ownFailureAgoMs: 300,
         isSlow: false,
         expected: false,
     },
     {
-        name: "replaces a leader that hears nothing long after the store came back for this node",
+        name: "replaces a leader without answers long after the store recovered for this node",
         silenceMs: 5_200,
         ownFailureAgoMs: 900,
         isSlow: false,
         expected: true,
     },
     {
-        name: "leaves a leader alone whose own processor is full",
+        name: "keeps a leader whose processor is saturated",
         silenceMs: 900,
         ownFailureAgoMs: undefined,
         isSlow: false,
@@ -72,7 +72,7 @@
 ];
 
 function buildLink(storeSilenceMs: Millis, latenessMs: Millis): LeaderLink {
-    const status: StatusNote = {
+    const status: NodeStatus = {
         kind: "status",
         nodeName: "leader",
         address: "",
@@ -97,18 +97,18 @@
                 latencyMs: 2,
                 random: createRandom(1),
             });
-            const silenced = new SilencedLeader({
+            const detector = new StoreIsolationDetector({
                 storePort: new FakeStorePort(new StoreModel(clock), path),
                 clock,
             });
             const link = buildLink(silenceMs, latenessMs);
             if (ownFailureAgoMs !== undefined) {
                 path.planNext({ kind: "refuseConnection" });
-                assert.equal(await clock.wait(silenced.shouldReplace(link), LOOK_LIMIT_MS), false);
+                assert.equal(await clock.wait(detector.shouldReplace(link), READ_LIMIT_MS), false);
                 await clock.step(ownFailureAgoMs);
             }
             path.faults.slowMs = isSlow ? 200 : 0;
-            assert.equal(await clock.wait(silenced.shouldReplace(link), LOOK_LIMIT_MS), expected);
+            assert.equal(await clock.wait(detector.shouldReplace(link), READ_LIMIT_MS), expected);
         });
     }
 });
