--- a/src/process/leader/admission.ts
+++ b/src/process/leader/admission.ts
@@ -1,40 +1,40 @@
-/** Whether a leader takes another job, by the processor time that it has left. Pure. */
+/** Admission control: decides whether a leader accepts another job. */
 import type { Millis } from "../../common/clock.js";
 import type { RiskyBacklog } from "../dispatch/probation.js";
 
 /**
- * Mean lateness from which jobs are refused. A job passes half a dozen turns of the event loop before its first task runs,
- * each of which is late by as much.
+ * Mean lateness from which jobs are refused. A job takes half a dozen turns of the event loop until its first
+ * task runs, and each turn is late by this much.
  */
 const SHED_FROM_MS: Millis = 50;
 /** Mean lateness from which all jobs are refused. */
 const SHED_ALL_MS: Millis = 200;
 const SHORTEST_RETRY_MS: Millis = 500;
-/** Spread of the times to come back, so that refused callers do not return in one moment. */
+/** Spread of the retry times, so that refused callers do not retry simultaneously. */
 const RETRY_SPREAD_MS: Millis = 1_000;
 
-/** What a decision depends on. */
+/** Inputs of a decision. */
 export interface AdmissionInputs {
-    /** By how much the leader's timers are late on the mean. */
+    /** Mean lateness of the leader's timers. */
     readonly latenessMs: Millis;
-    /** The queue's; 0 goes first. */
+    /** Priority of the job's queue; 0 is the most urgent. */
     readonly priority: number;
-    /** Of all queues. */
+    /** Priorities of all queues. */
     readonly priorities: readonly number[];
-    /** From 0 to 1, at random. */
+    /** Random number from 0 to 1. */
     readonly draw: number;
 }
 
-/** A job is taken, or refused with a time to come back. */
+/** A job is admitted, or refused with a time after which to retry. */
 export type Admission =
     | { readonly kind: "admitted"; }
     | { readonly kind: "overloaded"; readonly share: number; readonly retryAfterMs: Millis; };
 
 /**
- * Decides on a job that nobody has handed in before.
+ * Decides on a job that was not submitted before.
  *
- * @remarks Load answered: more jobs than the leader's processor can decide on. Each one that is accepted then delays all
- * others. The least urgent queues are refused first.
+ * @remarks When more jobs arrive than the leader's processor can handle, each accepted job delays all others.
+ * Jobs of the least urgent queues are refused first.
  */
 export function decideAdmission({ latenessMs, priority, priorities, draw }: AdmissionInputs): Admission {
     const share = (latenessMs - SHED_FROM_MS) / (SHED_ALL_MS - SHED_FROM_MS);
@@ -51,9 +51,11 @@
     };
 }
 
-/** Timely steps for each worker on probation that may wait: more would be late by the time of their turn. */
+/**
+ * Steps per worker on probation that may wait and still be timely: more would be late when their turn comes.
+ */
 const TIMELY_PER_WORKER = 3;
-/** Steps for each such worker that may wait in all: they have to be done in the end. */
+/** Steps per such worker that may wait in total, as all of them have to be run eventually. */
 const WAITING_PER_WORKER = 8;
 const SHORTEST_RISKY_RETRY_MS: Millis = 1_000;
 const RISKY_RETRY_SPREAD_MS: Millis = 2_000;
@@ -61,10 +63,10 @@
 /**
  * Decides on a job of a queue whose tasks have been crashing workers.
  *
- * @remarks Load answered: such a queue starts on few workers, one step at a time, so that far less of it can be done than
- * comes. What cannot have its turn in time is told so at once.
- * @param backlog - What waits of the queue.
- * @param draw - From 0 to 1, at random.
+ * @remarks Such a queue starts on few workers, one step at a time, so its jobs may arrive much faster than
+ * they can run. A job that could not run in time is refused at once.
+ * @param backlog - The queue's waiting steps.
+ * @param draw - Random number from 0 to 1.
  */
 export function decideRiskyAdmission({ steps, probes, workers }: RiskyBacklog, draw: number): Admission {
     if (steps - probes < workers * TIMELY_PER_WORKER && steps < workers * WAITING_PER_WORKER) {
--- a/src/process/leader/authority.ts
+++ b/src/process/leader/authority.ts
@@ -1,39 +1,35 @@
-/** Until when a leader may order workers without word from the store. */
+/** For how long a leader may send orders to workers without contact with the store. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { GuardedStore } from "../journal/guarded-store.js";
 
 /**
- * Longest time without an answer of the store for which a leader still extends leases: what runs must live through its usual
- * outages. A later leader counts with this time, and a lease, before it starts again what runs on a worker that it cannot
- * reach, so more would cost more than it saves.
+ * Longest time without an answer of the store during which a leader still extends leases, so that runs
+ * survive its usual outages. A successor waits for this time plus a lease before it restarts the runs of a
+ * worker that it can't reach, so a longer time would cost more than it saves.
  */
 export const MAX_UNCONFIRMED_MS: Millis = 8_000;
 
 /**
- * The right to extend leases.
+ * Decides whether this leader may extend leases and send orders.
  *
- * @remarks Failure guarded against: a leader that is cut off from the store, but not from a worker that its
- * successor cannot reach, would keep tasks alive there for ever while the successor waits for them to end. A
- * suspended process does not see time pass on its monotonic clock; workers' clocks show the gap, and from then on
- * only an answer of the store that was asked for later counts.
+ * @remarks A leader that is partitioned from the store, but not from a worker that its successor can't reach,
+ * would otherwise keep tasks alive there for ever while the successor waits for them to end. The monotonic
+ * clock of a suspended process does not show the suspension. The workers' clocks do, and from then on only
+ * answers to later requests to the store count.
  */
 export class Authority {
-    private floor: Millis = -Infinity;
+    private earliestContact: Millis = -Infinity;
 
-    /**
-     * @param clock - Measures the silence.
-     * @param store - Knows the last answer.
-     */
     constructor(private readonly clock: Clock, private readonly store: GuardedStore) {}
 
-    /** Tells whether leases may be extended and orders sent now. */
+    /** Whether leases may be extended and orders sent now. */
     mayOrder(): boolean {
         const contact = this.store.getLastContact();
-        return contact >= this.floor && this.clock.now() - contact < MAX_UNCONFIRMED_MS;
+        return contact >= this.earliestContact && this.clock.now() - contact < MAX_UNCONFIRMED_MS;
     }
 
-    /** Takes in that this process stood still. */
+    /** Records that this process was suspended: earlier contact with the store does not count any more. */
     observeSuspension(): void {
-        this.floor = this.clock.now();
+        this.earliestContact = this.clock.now();
     }
 }
--- a/src/process/leader/context.ts
+++ b/src/process/leader/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a leader share. */
+/** Dependencies and state that the components of one leader share. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { Lateness } from "../../common/lateness.js";
 import type { ClusterConfig, QueueConfig } from "../../version/cluster-config.js";
@@ -11,38 +11,46 @@
 import type { Authority } from "./authority.js";
 import type { StepHistory } from "./step-history.js";
 
-/** Shared by the parts of one leader, for as long as it leads. */
+/** What the components of a leader share while it leads. */
 export interface LeaderContext {
     readonly clock: Clock;
     readonly log: Log;
     readonly metrics: Metrics;
     readonly epoch: number;
-    readonly book: JobRegistry;
+    readonly jobs: JobRegistry;
     readonly workerPort: TaskWorkerPort;
     readonly authority: Authority;
-    /** When steps' runs last began or ended. */
+    /** When each step's runs last began or ended. */
     readonly history: StepHistory;
-    /** Length of the leases given to workers. */
+    /** Duration of the leases that workers are granted. */
     readonly leaseMs: Millis;
-    /** How late this process is. */
+    /** How late the timers of this process fire. */
     readonly lateness: Lateness;
-    /** Leases given by earlier leaders. */
+    /** Leases that earlier leaders granted and that may still be valid. */
     readonly inheritedLeases: InheritedLeases;
     readonly getConfig: () => ClusterConfig;
-    /** Finds the settings for a queue's jobs, also where it was removed; undefined where no leader has known them. */
+    /**
+     * Finds the settings for a queue's jobs, also after the queue was removed from the configuration;
+     * undefined if no leader has recorded them.
+     */
     readonly findQueueByName: (name: string) => QueueConfig | undefined;
-    /** Returns the run time to expect of a step's tasks; infinite where they run until they are stopped. */
+    /** Predicts the run time of a step's tasks; infinite for tasks that run until they are stopped. */
     readonly predictRunMs: (step: Step) => Millis;
-    /** Finds which queues may have a step's runs stopped; undefined where stopping would lose what they have done. */
-    readonly findYieldLimit: (step: Step) => number | undefined;
-    /** Tells whether this leader still leads, by word of the store. */
+    /**
+     * Finds the priority below which queues may preempt a step's runs; undefined if preemption would lose
+     * their work.
+     */
+    readonly findPreemptibleBelow: (step: Step) => number | undefined;
+    /** Asks the store whether this leader still leads. */
     readonly confirmLeading: () => Promise<boolean>;
-    /** Applies an event and makes it durable; `handleCommitted` is called once it is. */
+    /**
+     * Applies an event and appends it to the journal; `handleCommitted` is called once the event is durable.
+     */
     readonly record: (event: JobEvent, handleCommitted?: () => void) => void;
-    /** Calls back once everything recorded so far is durable. */
+    /** Calls `notify` once everything recorded so far is durable. */
     readonly runWhenCommitted: (notify: () => void) => void;
-    /** Asks for a planning pass soon. */
+    /** Schedules a planning pass. */
     readonly requestPass: () => void;
-    /** Another node leads. */
+    /** Called when there is evidence that another node leads. */
     readonly handleDeposed: (reason: string) => void;
 }
--- a/src/process/leader/crash-desk.ts
+++ b/src/process/leader/crash-tracker.ts
@@ -1,4 +1,4 @@
-/** Tells tasks that crash their workers from tasks that shared a worker's fate. */
+/** Distinguishes tasks that crash their workers from tasks whose workers were lost for other reasons. */
 import type { Millis } from "../../common/clock.js";
 import { isLate } from "../../common/lateness.js";
 import { CrashRisk } from "../dispatch/crash-risk.js";
@@ -13,52 +13,52 @@
 import type { LeaderContext } from "./context.js";
 import { RunLoss } from "./run-loss.js";
 
-/** What is known of a run's worker when the run is taken for lost. */
+/** What is known about a run and its worker when the run is declared lost. */
 export interface LostRun {
     readonly cause: RunLoss;
-    /** Whether the worker was to leave: then its end says nothing about what had run there for some time. */
+    /** Whether the worker was draining: its end is then no evidence against a run that was not lost early. */
     readonly isDraining: boolean;
-    /** How long the run is known to have been at work at least. */
+    /** Lower bound of the time for which the run was executing. */
     readonly provenMs: Millis;
-    /** Whether an earlier leader ordered it, so that it may have been at work for longer. */
+    /** Whether an earlier leader ordered it, so that it may have been executing for longer. */
     readonly isInherited: boolean;
 }
 
-/** What counts against a task. */
+/** A loss that counts against its task. */
 export interface CountedLoss {
     readonly loss: LossKind;
     readonly isEarlyLoss: boolean;
 }
 
-const KINDS: Readonly<Record<RunLoss, LossKind | undefined>> = {
+const LOSS_KINDS: Readonly<Record<RunLoss, LossKind | undefined>> = {
     [RunLoss.replaced]: LossKind.crashed,
     [RunLoss.leaseOver]: LossKind.suspected,
     [RunLoss.unheard]: LossKind.suspected,
     [RunLoss.absent]: undefined,
 };
 
-/** The desk; see the module comment. */
-export class CrashDesk {
-    /** When this leader last lost a run of a task. */
+/** Tracks losses of runs, and decides which tasks and queues are suspected of crashing workers. */
+export class CrashTracker {
+    /** When this leader last declared a run of a task lost. */
     private readonly lostAt = new WeakMap<Task, Millis>();
-    private readonly begin: Millis;
+    private readonly startedAt: Millis;
     private readonly risk = new CrashRisk();
-    private risky: ReadonlyMap<string, QueueRisk> = new Map();
+    private riskyQueues: ReadonlyMap<string, QueueRisk> = new Map();
     private backlogs: ReadonlyMap<string, RiskyBacklog> = new Map();
 
     /**
-     * @param context - Shared parts.
-     * @param closeIfOver - Closes jobs of steps in which a task has become known to crash its workers.
+     * @param closeIfFinished - Called with the steps whose tasks' losses turned out to be crashes; closes
+     * their jobs if they can't be done any more.
      */
     constructor(
         private readonly context: LeaderContext,
-        private readonly closeIfOver: (steps: Iterable<Step>) => void,
+        private readonly closeIfFinished: (steps: Iterable<Step>) => void,
     ) {
-        this.begin = context.clock.now();
+        this.startedAt = context.clock.now();
         this.restoreRisk();
     }
 
-    /** Counts a run that a worker has begun. */
+    /** Counts a run that a worker has started. */
     observeStart({ queue, isProbe }: RunRecord): void {
         if (!isProbe) {
             this.risk.observeStart(queue, this.context.clock.now());
@@ -66,14 +66,13 @@
     }
 
     /**
-     * Records that a worker's process has probably ended: its connection broke, or another one answers at its address. Silence
-     * says nothing, as the worker may be cut off.
-     * @param state - The worker.
-     * @param aliveAt - When it was last known to be at work.
+     * Records that a worker's process has probably ended: its connection broke, or another incarnation
+     * answers at its address. Missing contact alone is no evidence, as the worker may be partitioned.
+     * @param aliveAt - When the worker was last known to be alive.
      */
-    observeEnd(state: WorkerState, aliveAt: Millis): void {
+    observeWorkerEnd(state: WorkerState, aliveAt: Millis): void {
         const { clock, lateness, authority, metrics } = this.context;
-        // A leader that is late, or may not order, stops hearing workers that are well.
+        // A leader that is overloaded, or may not send orders, loses contact with healthy workers.
         if (isLate(lateness) || !authority.mayOrder()) {
             return;
         }
@@ -90,23 +89,23 @@
         }
     }
 
-    /** Records what a pass left waiting of risky queues. */
+    /** Sets the steps of risky queues that the last pass left waiting. */
     setBacklogs(backlogs: ReadonlyMap<string, RiskyBacklog>): void {
         this.backlogs = backlogs;
     }
 
-    /** Finds what waits of a queue whose tasks crash workers; undefined for one that is well. */
+    /** Finds the waiting steps of a queue whose tasks crash workers; undefined for a healthy queue. */
     findBacklog(queue: string): RiskyBacklog | undefined {
         return this.backlogs.get(queue);
     }
 
-    /** Returns which queues' tasks crash workers; a line says when one begins to count as such, or ends to. */
+    /** Returns the queues whose tasks crash workers, and logs each queue that goes on or off probation. */
     getProbation(): ProbationInput {
         const { clock, log, metrics } = this.context;
         const now = clock.now();
         const risky = this.risk.listRisky(now, queue => (this.backlogs.get(queue)?.probes ?? 0) > 0);
         for (const [queue, { starts, crashes, rate }] of risky) {
-            if (!this.risky.has(queue)) {
+            if (!this.riskyQueues.has(queue)) {
                 log.warn("CR1622", "queueOnProbation", {
                     queue,
                     starts,
@@ -115,22 +114,23 @@
                 });
             }
         }
-        for (const queue of this.risky.keys()) {
+        for (const queue of this.riskyQueues.keys()) {
             if (!risky.has(queue)) {
                 log.info("queueOffProbation", { queue });
             }
         }
-        this.risky = risky;
+        this.riskyQueues = risky;
         metrics.gauge("queues.onProbation", risky.size);
         return { risky, countAway: (pool, isExplained) => this.risk.countAway(pool, isExplained, now) };
     }
 
     /**
-     * Resolves what the loss of a task's current run counts for.
-     * @returns What counts against the task; undefined where nothing does.
+     * Decides whether the loss of a task's current run counts against the task. A run that was executing for
+     * long clears its task instead.
+     * @returns Undefined if the loss does not count.
      */
     resolveLoss(task: Task, { cause, isDraining, provenMs, isInherited }: LostRun): CountedLoss | undefined {
-        const loss = KINDS[cause];
+        const loss = LOSS_KINDS[cause];
         const isEarlyLoss = !isInherited && provenMs < EARLY_MS;
         if (loss === undefined || isDraining && !isEarlyLoss) {
             return undefined;
@@ -143,7 +143,7 @@
         return { loss, isEarlyLoss };
     }
 
-    /** Takes in that a task has run for long, so that it need not run alone any more. */
+    /** Clears a task's losses: it has run for so long that it need not run alone on its worker any more. */
     clearTask(task: Task): void {
         if (task.losses.length > 0) {
             this.context.log.info("taskCleared", { task: task.name, losses: task.losses.length });
@@ -151,16 +151,18 @@
         }
     }
 
-    /** Tells whether a task must wait until more is known of its losses. */
+    /** Whether a task must wait until more is known about its losses. */
     isPaused(task: Task): boolean {
         const pause = computeLossBackoff(task);
-        return pause > 0 && this.context.clock.now() < (this.lostAt.get(task) ?? this.begin) + pause;
+        return pause > 0 && this.context.clock.now() < (this.lostAt.get(task) ?? this.startedAt) + pause;
     }
 
-    /** Takes in that a worker's life is over: another one answers at its address. */
+    /**
+     * Handles the end of a worker: another incarnation answers at its address, so its losses were crashes.
+     */
     handleReplaced(workerId: string): void {
-        const { book, log, metrics } = this.context;
-        const tasks = book.losses.listTasks(workerId);
+        const { jobs, log, metrics } = this.context;
+        const tasks = jobs.losses.listTasks(workerId);
         this.risk.confirm(workerId);
         if (!tasks.some(task => task.losses.some(loss => loss.workerId === workerId && !loss.isCrash))) {
             return;
@@ -168,34 +170,37 @@
         log.info("workerCrashKnown", { workerId, tasks: tasks.length });
         metrics.count("workers.crashesKnown");
         this.context.record({ type: "workerCrashed", workerId });
-        const found = tasks.flatMap(task => book.findTask(task.name) ?? []);
-        this.closeIfOver(new Set(found.map(({ step }) => step)));
+        const found = tasks.flatMap(task => jobs.findTask(task.name) ?? []);
+        this.closeIfFinished(new Set(found.map(({ step }) => step)));
         this.context.requestPass();
     }
 
-    /** Takes in that a worker answers: it was not lost, and whichever life was at its address before is over. */
-    handleHeard(workerId: string, address: string): void {
-        const { book, log } = this.context;
+    /** Handles contact with a worker: it was not lost, and earlier incarnations at its address have ended. */
+    handleContact(workerId: string, address: string): void {
+        const { jobs, log } = this.context;
         this.risk.withdraw(workerId);
-        if (book.losses.has(workerId)) {
-            log.info("workerLossWithdrawn", { workerId, tasks: book.losses.listTasks(workerId).length });
+        if (jobs.losses.has(workerId)) {
+            log.info("workerLossWithdrawn", { workerId, tasks: jobs.losses.listTasks(workerId).length });
             this.context.record({ type: "workerSurvived", workerId });
             this.context.requestPass();
         }
-        for (const lost of [...book.losses.listWorkers()]) {
-            if (book.adoptions.get(lost)?.address === address) {
+        for (const lost of [...jobs.losses.listWorkers()]) {
+            if (jobs.adoptions.get(lost)?.address === address) {
                 this.handleReplaced(lost);
             }
         }
     }
 
-    /** Finds a task of a step that is to be given up: no run of it is under way that could still clear it. */
+    /**
+     * Finds a task of a step that has to be given up: it counts as a crasher, and no run of it is left to
+     * clear it.
+     */
     findCrasher({ tasks, job }: Step): Task | undefined {
-        const isRisky = this.risky.has(job.queue);
+        const isRisky = this.riskyQueues.has(job.queue);
         return tasks.find(task => task.state === TaskState.waiting && isCrasher(task, isRisky));
     }
 
-    /** Says which task was given up, and why. */
+    /** Logs which task was given up, and why. */
     reportCrasher(task: Task): void {
         const { log, metrics } = this.context;
         log.warn("CR1620", "taskGivenUp", {
@@ -206,21 +211,21 @@
         });
         metrics.count("tasks.givenUp");
     }
-    /** Lets the losses that earlier leaders recorded count for their queues. */
+    /** Restores the queues' crash risk from the losses that earlier leaders recorded. */
     private restoreRisk(): void {
-        const { book } = this.context;
-        for (const workerId of book.losses.listWorkers()) {
-            const runs = book.losses.listTasks(workerId).flatMap(({ name, losses }): readonly LostStart[] => {
+        const { jobs } = this.context;
+        for (const workerId of jobs.losses.listWorkers()) {
+            const runs = jobs.losses.listTasks(workerId).flatMap(({ name, losses }): readonly LostStart[] => {
                 const isEarly = losses.some(loss => loss.workerId === workerId && loss.isEarly);
-                const queue = book.findTask(name)?.step.job.queue;
+                const queue = jobs.findTask(name)?.step.job.queue;
                 return isEarly && queue !== undefined ? [{ queue, provenMs: 0, isSuspect: false }] : [];
             });
-            this.risk.observeLoss({ workerId, pool: "" }, runs, this.begin);
+            this.risk.observeLoss({ workerId, pool: "" }, runs, this.startedAt);
         }
     }
 
     private hasEarlyLoss(task: string): boolean {
-        return this.context.book.findTask(task)?.task.losses.some(({ isEarly }) => isEarly) === true;
+        return this.context.jobs.findTask(task)?.task.losses.some(({ isEarly }) => isEarly) === true;
     }
 }
 
--- a/src/process/leader/fleet.ts
+++ b/src/process/leader/fleet.ts
@@ -1,4 +1,4 @@
-/** The workers of a leader: their registrations, sessions and runs, and what reports mean for tasks. */
+/** The workers of a leader: their registrations, sessions and runs, and the processing of their reports. */
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
 import { LostAnswers } from "../dispatch/lost-answers.js";
@@ -8,73 +8,75 @@
 import { MAX_REPORTED_ENDS } from "../ports/task-worker-port.js";
 import type { EndedRun, RunningRun, WorkerRecord, WorkerReport } from "../ports/task-worker-port.js";
 import type { LeaderContext } from "./context.js";
-import type { EndDesk } from "./end-desk.js";
 import { buildForeignRun } from "./foreign-run.js";
 import { InheritedRuns } from "./inherited-runs.js";
 import { computeExtraReportGap, computeLossGrace } from "./late-leader.js";
 import { LostRuns } from "./lost-runs.js";
+import type { RunEndHandler } from "./run-end-handler.js";
 import { RunFinder } from "./run-finder.js";
 import { RunLoss } from "./run-loss.js";
 import { collectByPool } from "./workers-by-pool.js";
 import type { WorkersByPool } from "./workers-by-pool.js";
 
-/** Least time between two reports of one worker: each is a priced look, and ends of the meantime come together. */
+/**
+ * Minimum time between two reports of one worker: each report has a cost, and one carries all ends since the
+ * last.
+ */
 const REPORT_GAP_MS: Millis = 150;
-/** Time between two orders to stop the same run while its end is not listed. */
+/** Time between two orders to stop the same run, until its end is reported. */
 const STOP_RETRY_MS: Millis = 400;
-/** A worker without runs that is no longer in the list is kept this long: entries lapse while the store is away. */
+/**
+ * Time for which a worker without runs is kept once it is unlisted: registrations lapse during store outages.
+ */
 const UNLISTED_GRACE_MS: Millis = 5_000;
 
-/** Why a worker is no longer one of the fleet. */
+/** Why a worker was removed from the fleet. */
 const RemovalReason = {
-    /** Another life answers at its address. */
+    /** Another incarnation answers at its address. */
     replaced: "replaced",
-    /** It has no runs, and has been missing from the list for long. */
+    /** It has no runs, and was not listed for `UNLISTED_GRACE_MS`. */
     unlisted: "unlisted",
 } as const;
 type RemovalReason = (typeof RemovalReason)[keyof typeof RemovalReason];
 
 /** A worker of the fleet. */
-export interface Member {
+export interface FleetMember {
     readonly state: WorkerState;
     readonly session: WorkerSession;
     unlistedSince: Millis | undefined;
 }
 
-/** The fleet; see the module comment. */
+/** Keeps a session with each worker, and derives the ends and losses of runs from the workers' reports. */
 export class Fleet {
-    /** Tells where assigned tasks are. */
+    /** Locates the runs of assigned tasks. */
     readonly runs: RunFinder;
-    private readonly members = new Map<string, Member>();
+    private readonly members = new Map<string, FleetMember>();
     private readonly inherited: InheritedRuns;
     private readonly losses: LostRuns;
     private readonly lostAnswers: LostAnswers;
-    /** Lives that are over, though they still stand in the list. */
-    private readonly endedLives = new Set<string>();
+    /** Incarnations that have ended but are still listed. */
+    private readonly endedIncarnations = new Set<string>();
     private closed = false;
 
-    /**
-     * @param context - Shared parts.
-     * @param ends - Where ends of runs go.
-     */
-    constructor(private readonly context: LeaderContext, private readonly ends: EndDesk) {
+    /** @param ends - Handles the ends of runs. */
+    constructor(private readonly context: LeaderContext, private readonly ends: RunEndHandler) {
         this.lostAnswers = new LostAnswers(context.lateness);
         this.inherited = new InheritedRuns(context, ends);
         this.losses = new LostRuns(context, ends);
         this.runs = new RunFinder(context, this.members, this.inherited);
     }
 
-    /** Takes in the worker list. */
+    /** Applies a new list of registered workers. */
     setWorkers(records: ReadonlyMap<string, WorkerRecord>): void {
         const now = this.context.clock.now();
         for (const record of records.values()) {
-            if (!this.endedLives.has(record.workerId)) {
+            if (!this.endedIncarnations.has(record.workerId)) {
                 this.upsertWorker(record);
             }
         }
-        for (const workerId of this.endedLives) {
+        for (const workerId of this.endedIncarnations) {
             if (!records.has(workerId)) {
-                this.endedLives.delete(workerId);
+                this.endedIncarnations.delete(workerId);
             }
         }
         for (const [workerId, member] of this.members) {
@@ -90,8 +92,10 @@
         return collectByPool(this.listStates(), state => state.isUsable(now));
     }
 
-    /** Returns workers by pool that this leader may not use yet, as it has not heard them. */
-    collectUnheard(): WorkersByPool {
+    /**
+     * Returns by pool the workers that this leader may not use yet, because it has had no contact with them.
+     */
+    collectUnreported(): WorkersByPool {
         return collectByPool(
             this.listStates(),
             state => !state.isAdopted && state.isListed && !state.record.isDraining,
@@ -108,12 +112,12 @@
         return this.members.get(workerId)?.state;
     }
 
-    /** Counts workers that can be given work. */
+    /** Counts the workers that can be given work. */
     countUsable(now: Millis): number {
         return [...this.members.values()].filter(({ state }) => state.isUsable(now)).length;
     }
 
-    /** Looks for leases that have run out and workers that are gone. Call it several times a second. */
+    /** Handles expired leases and removes workers that are gone. Must be called several times a second. */
     sweep(): void {
         const now = this.context.clock.now();
         for (const member of [...this.members.values()]) {
@@ -122,7 +126,7 @@
         this.inherited.dropExpired(now);
     }
 
-    /** Orders a run to stop, again and again until its end is known. */
+    /** Orders a run to stop, and repeats the order until its end is known. */
     stopRun(state: WorkerState, run: RunRecord): void {
         if (run.phase === RunPhase.stopping) {
             return;
@@ -134,7 +138,7 @@
         }
     }
 
-    /** Stops a run wherever it is. */
+    /** Stops a run, whether its worker has been added or not. */
     stopTask(workerId: string, task: string, run: number): void {
         const state = this.findState(workerId);
         if (state === undefined) {
@@ -147,7 +151,7 @@
         }
     }
 
-    /** Gives back the room of a run that was never ordered. */
+    /** Releases the capacity reserved for a run that was never ordered. */
     releaseTask(workerId: string, task: string, run: number): void {
         this.findState(workerId)?.removeRun(task, run);
     }
@@ -191,7 +195,7 @@
             listener: {
                 handleReport: (report, ended, isFirst) => this.handleReport(member, report, ended, isFirst),
                 handleReachable: isReachable => this.handleReachable(state, isReachable),
-                handleBroken: () => this.ends.crashes.observeEnd(state, session.getAliveAt()),
+                handleBroken: () => this.ends.crashes.observeWorkerEnd(state, session.getAliveAt()),
                 handleReplaced: () => this.removeMember(member, RemovalReason.replaced),
                 handleFenced: () => context.handleDeposed("a worker follows a later leader"),
                 handleSuspended: gap => this.handleSuspended(gap),
@@ -203,11 +207,11 @@
                 handleLostAnswer: () => this.handleLostAnswer(record.workerId),
             },
         });
-        const member: Member = { state, session, unlistedSince: undefined };
+        const member: FleetMember = { state, session, unlistedSince: undefined };
         const inherited = this.inherited.take(record.workerId);
         inherited.forEach(run => state.addRun(run));
         this.members.set(record.workerId, member);
-        inherited.filter(run => this.inherited.isUnwanted(run)).forEach(run => this.stopRun(state, run));
+        inherited.filter(run => this.inherited.hasPendingStop(run)).forEach(run => this.stopRun(state, run));
         context.log.info("workerAdded", {
             workerId: record.workerId,
             address: record.address,
@@ -221,12 +225,12 @@
     private handleReachable(state: WorkerState, isReachable: boolean): void {
         state.isReachable = isReachable;
         if (isReachable) {
-            this.ends.crashes.handleHeard(state.id, state.record.address);
+            this.ends.crashes.handleContact(state.id, state.record.address);
             this.context.requestPass();
         }
     }
 
-    /** Each loss is counted; a line says when answers begin to get lost. */
+    /** Counts each lost answer, and logs when answers begin to get lost. */
     private handleLostAnswer(workerId: string): void {
         const now = this.context.clock.now();
         if (!this.lostAnswers.hasLost(now)) {
@@ -241,7 +245,7 @@
     }
 
     private handleReport(
-        member: Member,
+        member: FleetMember,
         report: WorkerReport,
         ended: readonly EndedRun[],
         isFirst: boolean,
@@ -269,8 +273,8 @@
         }
     }
 
-    /** From here on this leader may extend leases on the worker and give it work. */
-    private adopt({ state, session }: Member): void {
+    /** Once the adoption is durable, this leader may extend leases on the worker and give it work. */
+    private adopt({ state, session }: FleetMember): void {
         const { context } = this;
         const { workerId, address } = state.record;
         context.record({ type: "adopted", workerId, epoch: context.epoch, address }, () => {
@@ -307,17 +311,17 @@
     }
 
     private observeBegin(task: string): void {
-        const step = this.context.book.findTask(task)?.step;
+        const step = this.context.jobs.findTask(task)?.step;
         if (step !== undefined) {
             this.context.history.observeBegin(step, this.context.clock.now());
         }
     }
 
-    /** A run that no task is waiting for: its room is taken until it has ended. */
+    /** Stops a run that no task is assigned to; it occupies capacity until it has ended. */
     private stopForeign(state: WorkerState, running: RunningRun, workerNow: Millis): void {
         const record = buildForeignRun({
             running,
-            step: this.context.book.findTask(running.task)?.step,
+            step: this.context.jobs.findTask(running.task)?.step,
             free: state.free,
             workerNow,
             now: this.context.clock.now(),
@@ -331,8 +335,8 @@
         this.stopRun(state, record);
     }
 
-    /** Runs that a report from after their last uncertainty does not list are not there. */
-    private settleAbsent(member: Member, listed: ReadonlySet<string>, workerNow: Millis): void {
+    /** Ends the runs that are missing from a report made after the time by which it must list them. */
+    private settleAbsent(member: FleetMember, listed: ReadonlySet<string>, workerNow: Millis): void {
         const { state } = member;
         for (const [key, run] of [...state.runs]) {
             if (listed.has(key) || run.phase === RunPhase.reserved || workerNow <= run.settledAfter) {
@@ -343,7 +347,7 @@
         }
     }
 
-    private sweepMember(member: Member, now: Millis): void {
+    private sweepMember(member: FleetMember, now: Millis): void {
         const { state, session } = member;
         this.losses.endExclusiveness(member);
         const lossAt = session.getLeaseEnd() + computeLossGrace(this.context.lateness);
@@ -351,24 +355,24 @@
             this.losses.expireAll(member, RunLoss.leaseOver);
         }
         const { unlistedSince } = member;
-        const isGone = unlistedSince !== undefined && now - unlistedSince > UNLISTED_GRACE_MS;
-        if (isGone && state.runs.size === 0) {
+        const isExpired = unlistedSince !== undefined && now - unlistedSince > UNLISTED_GRACE_MS;
+        if (isExpired && state.runs.size === 0) {
             this.removeMember(member, RemovalReason.unlisted);
         }
     }
 
-    private removeMember(member: Member, reason: RemovalReason): void {
+    private removeMember(member: FleetMember, reason: RemovalReason): void {
         const { state, session } = member;
         const { workerId, address } = state.record;
         this.context.log.info("workerRemoved", { workerId, address, reason });
         if (reason === RemovalReason.replaced) {
-            this.ends.crashes.observeEnd(state, session.getAliveAt());
+            this.ends.crashes.observeWorkerEnd(state, session.getAliveAt());
         }
         if (state.runs.size > 0) {
             this.losses.expireAll(member, RunLoss.replaced);
         }
         if (reason === RemovalReason.replaced) {
-            this.endedLives.add(workerId);
+            this.endedIncarnations.add(workerId);
             this.ends.crashes.handleReplaced(workerId);
         }
         session.close();
--- a/src/process/leader/foreign-run.ts
+++ b/src/process/leader/foreign-run.ts
@@ -1,4 +1,4 @@
-/** The record of a run that a worker reports and that no task is waiting for. */
+/** Records of foreign runs: runs that a worker reports though no task is assigned to them. */
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
 import { buildRunRecord, RunPhase } from "../dispatch/worker-state.js";
@@ -6,21 +6,21 @@
 import type { Step } from "../jobs/job.js";
 import type { RunningRun } from "../ports/task-worker-port.js";
 
-/** What is known of a foreign run. */
+/** What is known about a foreign run. */
 export interface ForeignRun {
     readonly running: RunningRun;
-    /** Its step; undefined where its job has ended or was never known. */
+    /** Undefined if its job has ended or was never known. */
     readonly step: Step | undefined;
-    /** What its worker has free. */
+    /** Free resources of its worker. */
     readonly free: Resources;
-    /** The worker's time when it reported the run. */
+    /** When the run was reported, on the worker's clock. */
     readonly workerNow: Millis;
     readonly now: Millis;
 }
 
 /**
- * Builds the record: the run's room is taken until it has ended. What a job needed is not known any more once it has ended,
- * so its run is given all that seems free.
+ * Builds the record that reserves the run's resources until it has ended. The demand of an ended job is no
+ * longer known, so its run is charged with everything that seems free.
  */
 export function buildForeignRun({ running, step, free, workerNow, now }: ForeignRun): RunRecord {
     return buildRunRecord({
@@ -28,7 +28,7 @@
         run: running.run,
         step: step?.name ?? "",
         queue: step?.job.queue ?? "",
-        demand: step?.spec.demand ?? takeAll(free),
+        demand: step?.spec.demand ?? computeAvailable(free),
         isDemandKnown: step !== undefined,
         phase: RunPhase.running,
         settledAfter: workerNow,
@@ -39,8 +39,8 @@
     });
 }
 
-/** All that is free; nothing in a dimension that is overdrawn. */
-function takeAll(free: Resources): Resources {
+/** Returns all free resources, and 0 in a dimension that is overcommitted. */
+function computeAvailable(free: Resources): Resources {
     return {
         cpuMillis: Math.max(0, free.cpuMillis),
         memoryMib: Math.max(0, free.memoryMib),
--- a/src/process/leader/gang-starts.ts
+++ b/src/process/leader/gang-starts.ts
@@ -1,4 +1,4 @@
-/** Starts of gangs: members whose start failed are started elsewhere while the others wait for them. */
+/** Repairs starts of gangs: a member that did not start is started elsewhere while the others wait for it. */
 import type { Millis } from "../../common/clock.js";
 import { RunEnd } from "../jobs/job-events.js";
 import type { Step } from "../jobs/job.js";
@@ -6,49 +6,46 @@
 import type { LeaderContext } from "./context.js";
 
 /**
- * Time from the first order in which missing members may still join. Members wait 3 s for each other at the least, and
- * the last one needs its assignment and its order on top.
+ * Time after the first order during which missing members may still join. Members wait at least 3 s for each
+ * other, and the last one also needs time for its assignment and its order.
  */
-const REPAIR_MS: Millis = 2_500;
+const REPAIR_WINDOW_MS: Millis = 2_500;
 
 interface GangRun {
     readonly run: number;
-    readonly at: Millis;
+    readonly startedAt: Millis;
 }
 
 /**
- * Starts of gangs.
+ * Tracks the starts of gangs and decides whether a partly failed start is repaired or stopped.
  *
- * @remarks Failure guarded against: one of twenty workers does not start its member, all the others are stopped, and the
- * gang goes back to waiting for room that others have taken by then.
+ * @remarks Without repair, one of twenty workers that does not start its member would cause all the others to
+ * be stopped, and the gang would wait again for capacity that other steps have taken by then.
  */
 export class GangStarts {
     private readonly runs = new WeakMap<Step, GangRun>();
     private readonly repairing = new Set<Step>();
 
-    /**
-     * @param context - Shared parts.
-     * @param stopStep - Stops all members that run.
-     */
+    /** @param stopStep - Stops all running members of a gang. */
     constructor(private readonly context: LeaderContext, private readonly stopStep: (step: Step) => void) {}
 
-    /** Takes in that members of a run are being started. */
+    /** Records that members of a run are being started. */
     observeStart(step: Step, run: number): void {
         if (this.runs.get(step)?.run !== run) {
-            this.runs.set(step, { run, at: this.context.clock.now() });
+            this.runs.set(step, { run, startedAt: this.context.clock.now() });
         }
     }
 
-    /** Takes in that members are being stopped: nobody joins them any more. */
+    /** Records that members are being stopped, so that no others may join them. */
     observeStop(step: Step): void {
         this.runs.delete(step);
         this.endRepair(step);
     }
 
-    /** Takes in that a member's run has ended, or never began. */
+    /** Handles a member's run that has ended or never began. */
     handleEnd(step: Step, run: number, end: RunEnd): void {
         if (end !== RunEnd.notRun) {
-            // The others end with it, or wait in vain.
+            // The other members end with it, or time out waiting for it.
             this.endRepair(step);
             return;
         }
@@ -58,30 +55,30 @@
             this.context.log.info("gangMemberMissing", { step: step.name, run, waiting: step.waiting });
             return;
         }
-        this.stopRest(step, run);
+        this.stopMembers(step, run);
     }
 
-    /** Stops gangs whose missing members found no place in time. */
+    /** Stops gangs whose missing members were not placed in time. */
     sweep(): void {
         for (const step of [...this.repairing]) {
             const run = this.runs.get(step);
             if (run === undefined || step.waiting === 0 || step.job.spec === undefined) {
                 this.endRepair(step);
             }
-            else if (this.context.clock.now() - run.at > REPAIR_MS) {
-                this.stopRest(step, run.run);
+            else if (this.context.clock.now() - run.startedAt > REPAIR_WINDOW_MS) {
+                this.stopMembers(step, run.run);
             }
         }
     }
 
     private mayRepair(step: Step, run: number): boolean {
         const started = this.runs.get(step);
-        return started?.run === run && this.context.clock.now() - started.at < REPAIR_MS &&
+        return started?.run === run && this.context.clock.now() - started.startedAt < REPAIR_WINDOW_MS &&
             hasMembers(step, run);
     }
 
-    /** A gang whose start failed in part would hold its room until the others give up waiting. */
-    private stopRest(step: Step, run: number): void {
+    /** Stops the started members, which would otherwise occupy capacity until they give up waiting. */
+    private stopMembers(step: Step, run: number): void {
         this.endRepair(step);
         if (hasMembers(step, run)) {
             this.context.log.info("gangStopped", { step: step.name, run });
--- a/src/process/leader/inherited-runs.ts
+++ b/src/process/leader/inherited-runs.ts
@@ -1,4 +1,4 @@
-/** Runs that earlier leaders gave to workers of which this one has not heard yet. */
+/** Runs that earlier leaders assigned to workers with which this leader has had no contact yet. */
 import type { Millis } from "../../common/clock.js";
 import { buildRunRecord, makeRunKey, RunPhase } from "../dispatch/worker-state.js";
 import type { RunRecord } from "../dispatch/worker-state.js";
@@ -7,39 +7,39 @@
 import type { Step, Task } from "../jobs/job.js";
 import { isSuspect } from "../jobs/worker-losses.js";
 import type { LeaderContext } from "./context.js";
-import type { EndDesk } from "./end-desk.js";
 import { computeLossGrace } from "./late-leader.js";
+import type { RunEndHandler } from "./run-end-handler.js";
 import { RunLoss } from "./run-loss.js";
 
-/** The runs; see the module comment. */
+/** Keeps inherited runs until their workers appear or the workers' leases have certainly expired. */
 export class InheritedRuns {
     private readonly tasks = new Map<string, FoundTask[]>();
     /** Keys of runs that have to end. */
-    private readonly unwanted = new Set<string>();
+    private readonly pendingStops = new Set<string>();
 
-    /**
-     * @param context - Shared parts; its book holds what is assigned.
-     * @param ends - Takes runs whose workers never appear.
-     */
-    constructor(private readonly context: LeaderContext, private readonly ends: EndDesk) {
-        for (const found of context.book.listAssigned()) {
+    /** @param ends - Handles the loss of runs whose workers never appear. */
+    constructor(private readonly context: LeaderContext, private readonly ends: RunEndHandler) {
+        for (const found of context.jobs.listAssigned()) {
             const workerId = found.task.workerId ?? "";
             this.tasks.set(workerId, [...this.tasks.get(workerId) ?? [], found]);
         }
     }
 
-    /** Returns until when, on our clock, leases on a worker may run; long past where it has none of these runs. */
+    /**
+     * Computes when leases on a worker expire at the latest, on this node's clock; -Infinity without
+     * inherited runs.
+     */
     computeLeaseEnd(workerId: string): Millis {
         return this.tasks.has(workerId) ? this.computeEnd(workerId) : -Infinity;
     }
 
-    /** Tells whether a task's run is one of these. */
+    /** Whether a task's current run is an inherited one. */
     hasRun({ name, run, workerId = "" }: Task): boolean {
         const tasks = this.tasks.get(workerId) ?? [];
         return tasks.some(({ task }) => task.name === name && task.run === run);
     }
 
-    /** Lists the steps that have such a run. */
+    /** Lists the steps of inherited runs; a step appears once for each run. */
     *listSteps(): Iterable<Step> {
         for (const tasks of this.tasks.values()) {
             for (const { step } of tasks) {
@@ -49,38 +49,38 @@
     }
 
     /**
-     * Takes in that a run has to end, though its worker has not been heard yet.
+     * Stops a run once its worker appears.
      *
-     * @remarks Failure guarded against: a caller cancels a job while its worker's registration is away, as for two seconds
-     * after an outage of the store. The job is over, so nothing ever looks at its tasks again, and one that lasts until it is
-     * stopped runs on for ever. The stop is kept here and sent when the worker appears.
+     * @remarks A caller may cancel a job while its worker is not registered, for instance during the two
+     * seconds after an outage of the store. The cancelled job's tasks are never visited again, so without the
+     * postponed stop a long-running task would run for ever.
      */
     requestStop(workerId: string, task: string, run: number): void {
         if (!this.tasks.has(workerId)) {
             return;
         }
-        this.unwanted.add(makeRunKey(task, run));
+        this.pendingStops.add(makeRunKey(task, run));
         this.context.log.info("stopPostponed", {
             task,
             run,
             workerId,
-            reason: "the worker was not heard yet",
+            reason: "the worker has not reported yet",
         });
     }
 
-    /** Tells whether a run that was taken over has to end. */
-    isUnwanted({ task, run }: RunRecord): boolean {
-        return this.unwanted.has(makeRunKey(task, run));
+    /** Whether an inherited run has to be stopped. */
+    hasPendingStop({ task, run }: RunRecord): boolean {
+        return this.pendingStops.has(makeRunKey(task, run));
     }
 
-    /** Hands the runs of a worker over to its session. */
+    /** Removes and returns the inherited runs of a worker, which has appeared. */
     take(workerId: string): readonly RunRecord[] {
         const found = this.tasks.get(workerId) ?? [];
         this.tasks.delete(workerId);
         return found.map(task => this.buildRun(task));
     }
 
-    /** Gives up on workers that never appeared, once their leases have surely run out. */
+    /** Declares the runs of workers that never appeared lost once their leases have certainly expired. */
     dropExpired(now: Millis): void {
         for (const [workerId, tasks] of this.tasks) {
             if (now <= this.computeEnd(workerId) + computeLossGrace(this.context.lateness)) {
@@ -106,8 +106,8 @@
     }
 
     private computeEnd(workerId: string): Millis {
-        const { book, inheritedLeases } = this.context;
-        return inheritedLeases.computeEnd(book.adoptions.get(workerId)?.epoch);
+        const { jobs, inheritedLeases } = this.context;
+        return inheritedLeases.computeEnd(jobs.adoptions.get(workerId)?.epoch);
     }
 
     private buildRun({ step, task }: FoundTask): RunRecord {
@@ -118,12 +118,12 @@
             queue: step.job.queue,
             demand: step.spec.demand,
             phase: RunPhase.ordered,
-            // The first report carries the new epoch, so orders of earlier leaders have no effect after it.
+            // The first report carries the new epoch, after which orders of earlier leaders have no effect.
             settledAfter: 0,
             isInherited: true,
             isLasting: step.spec.isLongRunning,
             isExclusive: isSuspect(task),
-            yieldsBelow: this.context.findYieldLimit(step),
+            yieldsBelow: this.context.findPreemptibleBelow(step),
             checkpoint: task.checkpoint,
             orderedAt: this.context.clock.now(),
         });
--- a/src/process/leader/job-desk.ts
+++ b/src/process/leader/job-request-handler.ts
@@ -1,4 +1,4 @@
-/** Answers callers' requests at the leader. */
+/** Handles the requests of callers at the leader. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import { findQueue } from "../../version/cluster-config.js";
@@ -12,82 +12,83 @@
 import { decideAdmission, decideRiskyAdmission } from "./admission.js";
 import type { Admission } from "./admission.js";
 import type { LeaderContext } from "./context.js";
-import type { EndDesk } from "./end-desk.js";
 import type { QueueSettings } from "./queue-settings.js";
 import { RefusalReason } from "./requests.js";
 import type { CallerReply, CallerRequest } from "./requests.js";
+import type { RunEndHandler } from "./run-end-handler.js";
 
-/** When a caller may come back while the store is away: its outages last seconds. */
-const STORE_AWAY_RETRY_MS: Millis = 1_000;
-/** Jobs that have ended are shown for at least this long: the deployments ask for 120 s. */
+/** When a caller may retry during an outage of the store; such outages last seconds. */
+const STORE_UNAVAILABLE_RETRY_MS: Millis = 1_000;
+/** Minimum time for which ended jobs are shown; deployments require 120 s. */
 const RETENTION_MS: Millis = 240_000;
 const JOB_ID_PATTERN = /^[0-9a-f]{16}$/i;
 
 type Reply = (reply: CallerReply) => void;
 
-/** The desk; see the module comment. */
-export class JobDesk {
-    /** Callers that wait for the acceptance of a job to be durable. */
+/** Accepts, shows and cancels jobs for callers. */
+export class JobRequestHandler {
+    /** Callers that wait until the acceptance of a job is durable, by job. */
     private readonly waiting = new Map<string, Reply[]>();
-    /** Callers that wait for something else; they are told when this leader ends. */
-    private readonly open = new Set<Reply>();
+    /** All callers without a reply; they get one when this leader closes. */
+    private readonly unanswered = new Set<Reply>();
 
     /**
-     * @param context - Shared parts.
-     * @param journal - Knows whether the store is away.
-     * @param ends - Stops what cancelled jobs run.
-     * @param queues - Keeps the settings that accepted jobs are run under.
-     * @param random - Spreads refusals.
+     * @param journal - Knows whether the store is unavailable.
+     * @param ends - Stops the runs of cancelled jobs.
+     * @param queues - Records the settings of accepted jobs' queues.
+     * @param random - Decides which jobs are refused under overload, and spreads the retry times.
      */
     constructor(
         private readonly context: LeaderContext,
         private readonly journal: Journal,
-        private readonly ends: EndDesk,
+        private readonly ends: RunEndHandler,
         private readonly queues: QueueSettings,
         private readonly random: Random,
     ) {}
 
-    /** Answers a request; the promise settles once the answer is true for good. */
+    /** Answers a request; the promise resolves once the answer is durable. */
     serve(request: CallerRequest): Promise<CallerReply> {
         return new Promise(resolve => {
             const reply: Reply = answer => {
-                this.open.delete(reply);
+                this.unanswered.delete(reply);
                 resolve(answer);
             };
-            this.open.add(reply);
+            this.unanswered.add(reply);
             this.dispatchRequest(request, reply);
         });
     }
 
-    /** Refuses acceptances that no try has sent yet while the store is away. */
+    /** While the store is unavailable, refuses jobs whose acceptance no write attempt has sent yet. */
     refuseWhileStalled(): void {
         if (!this.journal.isStalled()) {
             return;
         }
         this.journal.withdrawAcceptances(jobId => {
-            const job = this.context.book.get(jobId);
+            const job = this.context.jobs.get(jobId);
             if (job !== undefined) {
                 this.ends.releaseJob(job);
             }
-            this.context.book.dropUncommitted(jobId);
-            this.finishWaiting(jobId, buildStoreAway());
+            this.context.jobs.dropUncommitted(jobId);
+            this.finishWaiting(jobId, buildStoreUnavailable());
         });
     }
 
-    /** Forgets jobs whose end is older than callers may ask for, and queues that no job needs. */
+    /**
+     * Forgets jobs that ended longer ago than the retention time, and settings of queues that no job needs.
+     */
     forgetOld(): void {
         this.queues.forgetUnused();
         const limit = this.context.clock.wallNow() - RETENTION_MS;
-        for (const job of this.context.book.listAll()) {
+        for (const job of this.context.jobs.listAll()) {
             if (job.endedAt !== 0 && job.endedAt < limit) {
                 this.context.record({ type: "forgotten", jobId: job.id });
             }
         }
     }
 
-    /** Tells everyone who waits that this leader can't say. */
+    /** Tells all waiting callers that the outcome is unknown to this leader. */
     close(): void {
-        for (const reply of [...this.open]) {
+        for (const reply of [...this.unanswered]) {
             reply({ kind: "unknown", message: "the leader has changed" });
         }
         this.waiting.clear();
@@ -101,7 +102,7 @@
         }
         const { queue, rest } = match;
         if (request.kind === "show" && rest === "") {
-            reply({ kind: "pending", count: this.context.book.countPending(queue.name) });
+            reply({ kind: "pending", count: this.context.jobs.countPending(queue.name) });
             return;
         }
         if (!JOB_ID_PATTERN.test(rest)) {
@@ -124,13 +125,13 @@
             waiting.push(reply);
             return;
         }
-        if (this.context.book.get(jobId) !== undefined) {
+        if (this.context.jobs.get(jobId) !== undefined) {
             reply({ kind: "accepted" });
             return;
         }
         if (this.journal.isStalled()) {
             this.logDecision(jobId, queue.name, "refused", "the store does not answer");
-            reply(buildStoreAway());
+            reply(buildStoreUnavailable());
             return;
         }
         if (this.refuseIfOverloaded(jobId, queue, reply)) {
@@ -144,11 +145,13 @@
             this.finishWaiting(jobId, { kind: "accepted" });
             this.context.requestPass();
         });
-        // Permits can be asked for while the acceptance becomes durable.
+        // A pass can already request permits while the acceptance becomes durable.
         this.context.requestPass();
     }
 
-    /** Tells whether the job was refused. */
+    /**
+     * Refuses a job if the leader is overloaded or the queue's tasks crash workers; returns whether it did.
+     */
     private refuseIfOverloaded(jobId: string, queue: QueueConfig, reply: Reply): boolean {
         const backlog = this.ends.crashes.findBacklog(queue.name);
         const risky = backlog && decideRiskyAdmission(backlog, this.random.pickFraction());
@@ -180,7 +183,7 @@
     }
 
     private show(jobId: string, reply: Reply): void {
-        const job = this.context.book.get(jobId);
+        const job = this.context.jobs.get(jobId);
         if (job === undefined) {
             void this.replyNoJob(reply);
             return;
@@ -189,7 +192,7 @@
     }
 
     private cancel(jobId: string, reply: Reply): void {
-        const job = this.context.book.get(jobId);
+        const job = this.context.jobs.get(jobId);
         if (job === undefined) {
             void this.replyNoJob(reply);
             return;
@@ -199,11 +202,11 @@
             return;
         }
         if (this.journal.isStalled()) {
-            reply(buildStoreAway());
+            reply(buildStoreUnavailable());
             return;
         }
-        // Nothing more of the job starts from here on. What runs goes on until the cancellation is durable: if this leader
-        // is lost before that, the job is not cancelled, and its work must not have been thrown away.
+        // No more tasks of the job start from here on. Its runs continue until the cancellation is durable:
+        // if this leader is lost before that, the job is not cancelled and must not have lost its work.
         const steps = [...listSteps(job)];
         const at = this.context.clock.wallNow();
         this.context.record({ type: "cancelled", jobId, at }, () => {
@@ -214,7 +217,9 @@
         });
     }
 
-    /** Another leader may have accepted the job while this one stood still. */
+    /**
+     * Checks the leadership first: another leader may have accepted the job while this process was suspended.
+     */
     private async replyNoJob(reply: Reply): Promise<void> {
         const isLeading = await this.context.confirmLeading();
         reply(isLeading ? { kind: "noJob" } : { kind: "unknown", message: "the leader may have changed" });
@@ -241,17 +246,17 @@
             reason,
             configVersion: this.context.getConfig().version,
             epoch: this.context.epoch,
-            openJobs: this.context.book.countOpen(),
+            openJobs: this.context.jobs.countOpen(),
             ...inputs,
         });
     }
 }
 
-/** An end is shown once it is durable: a later leader must never take it back. */
+/** Shows an end only once it is durable, so that no later leader can contradict it. */
 function getShownPhase(job: Job): JobPhase {
     return job.endedAt !== 0 && !job.isEndDurable ? JobPhase.running : job.phase;
 }
 
-function buildStoreAway(): CallerReply {
-    return { kind: "refused", reason: RefusalReason.storeAway, retryAfterMs: STORE_AWAY_RETRY_MS };
+function buildStoreUnavailable(): CallerReply {
+    return { kind: "refused", reason: RefusalReason.storeAway, retryAfterMs: STORE_UNAVAILABLE_RETRY_MS };
 }
--- a/src/process/leader/leader.ts
+++ b/src/process/leader/leader.ts
@@ -1,4 +1,7 @@
-/** One leadership: everything that decides, from the take-over until another node leads. */
+/**
+ * The leader of the cluster: creates and connects the components that decide, from takeover until another
+ * node leads.
+ */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 import type { Lateness } from "../../common/lateness.js";
 import type { Random } from "../../common/random.js";
@@ -21,19 +24,19 @@
 import type { Log, Metrics } from "../telemetry.js";
 import { Authority } from "./authority.js";
 import type { LeaderContext } from "./context.js";
-import { EndDesk } from "./end-desk.js";
 import { Fleet } from "./fleet.js";
-import { JobDesk } from "./job-desk.js";
-import { computeExtraRecordGap } from "./late-leader.js";
-import { PermitDesk } from "./permit-desk.js";
+import { JobRequestHandler } from "./job-request-handler.js";
+import { computeExtraRecordInterval } from "./late-leader.js";
+import { PermitCoordinator } from "./permit-coordinator.js";
 import { QueueSettings } from "./queue-settings.js";
 import type { CallerReply, CallerRequest } from "./requests.js";
+import { RunEndHandler } from "./run-end-handler.js";
 import { Starter } from "./starter.js";
 import { StateReport } from "./state-report.js";
 import { StepHistory } from "./step-history.js";
 import type { WorkersByPool } from "./workers-by-pool.js";
 
-/** What a leader is made from. */
+/** Dependencies of a leader. */
 export interface LeaderOptions {
     readonly clock: Clock;
     readonly log: Log;
@@ -45,44 +48,47 @@
     readonly leaseMs: Millis;
     readonly inheritedLeases: InheritedLeases;
     readonly getConfig: () => ClusterConfig;
-    /** Tells whether this leader still leads, by word of the store. */
+    /** Asks the store whether this leader still leads. */
     readonly confirmLeading: () => Promise<boolean>;
     readonly handleDeposed: (reason: string) => void;
-    /** How late this process is. */
+    /** How late the timers of this process fire. */
     readonly lateness: Lateness;
-    /** For what is spread at random. */
+    /** Spreads the retry times of refused callers. */
     readonly random: Random;
 }
 
-/** Events of one moment lead to one pass. */
+/** Delay of a requested pass, so that events that arrive together lead to one pass. */
 const PASS_DELAY_MS: Millis = 3;
-/** Passes take at most a third of the leader's time, however much waits: answers and reports need the rest. */
-const PASS_REST_FACTOR = 2;
-/** How often leases, schedules and the store's silence are looked at. */
+/**
+ * Pause after a pass relative to its duration: passes take at most a third of the time, the rest is for
+ * replies and reports.
+ */
+const PASS_PAUSE_FACTOR = 2;
+/** How often leases, schedules and the availability of the store are checked. */
 const SWEEP_MS: Millis = 100;
 const FORGET_EVERY_SWEEPS = 50;
 /** How often the state of the cluster is logged. */
 const REPORT_EVERY_SWEEPS = 10;
 
-/** The leader; see the module comment. */
+/** Plans and starts work while this node leads. */
 export class Leader {
     readonly advice: AdviceDesk;
     private readonly context: LeaderContext;
     private readonly journal: Journal;
     private readonly queues: QueueSettings;
-    private readonly ends: EndDesk;
+    private readonly ends: RunEndHandler;
     private readonly fleet: Fleet;
-    private readonly desk: JobDesk;
+    private readonly jobRequests: JobRequestHandler;
     private readonly starter: Starter;
     private readonly runTimes = new RunTimeModel();
-    private readonly preemptionLooks = new PreemptionLooks();
-    /** How long the last pass took. */
+    private readonly preemptionAttempts = new PreemptionLooks();
+    /** Duration of the last pass. */
     private passTookMs: Millis = 0;
-    private readonly permits: PermitDesk;
+    private readonly permits: PermitCoordinator;
     private readonly report: StateReport;
     private lastPassAt: Millis | undefined;
-    /** Gangs that kept room in the last pass. */
-    private keepers: readonly Step[] = [];
+    /** Gangs that reserved capacity in the last pass. */
+    private reservingGangs: readonly Step[] = [];
     private passTimer: Timer | undefined;
     private sweepTimer: Timer | undefined;
     private sweeps = 0;
@@ -93,11 +99,17 @@
         this.journal = this.buildJournal();
         this.queues = new QueueSettings(this.context);
         this.advice = new AdviceDesk(options.clock, options.log);
-        this.permits = new PermitDesk(this.context, this.advice);
-        this.ends = new EndDesk(this.context, this.runTimes);
+        this.permits = new PermitCoordinator(this.context, this.advice);
+        this.ends = new RunEndHandler(this.context, this.runTimes);
         this.fleet = new Fleet(this.context, this.ends);
         this.ends.install(this.fleet);
-        this.desk = new JobDesk(this.context, this.journal, this.ends, this.queues, options.random);
+        this.jobRequests = new JobRequestHandler(
+            this.context,
+            this.journal,
+            this.ends,
+            this.queues,
+            options.random,
+        );
         this.starter = new Starter(
             this.context,
             this.fleet,
@@ -109,21 +121,21 @@
             job.isEndDurable = job.endedAt !== 0;
         }
         this.queues.storeAll();
-        this.ends.closeAllOver();
+        this.ends.closeFinishedJobs();
         this.sweep();
     }
 
     /** Answers a caller's request. */
     serve(request: CallerRequest): Promise<CallerReply> {
-        return this.desk.serve(request);
+        return this.jobRequests.serve(request);
     }
 
-    /** Takes in the worker list. */
+    /** Applies a new list of registered workers. */
     setWorkers(records: ReadonlyMap<string, WorkerRecord>): void {
         this.fleet.setWorkers(records);
     }
 
-    /** Takes in that a newer configuration is in force. */
+    /** Handles a newer configuration that has come into force. */
     handleConfig(): void {
         this.queues.storeAll();
         this.report.handleConfig();
@@ -147,7 +159,7 @@
         this.sweepTimer?.cancel();
         this.journal.close();
         this.fleet.close();
-        this.desk.close();
+        this.jobRequests.close();
         this.permits.close();
     }
 
@@ -158,7 +170,7 @@
             log: options.log,
             metrics: options.metrics,
             epoch: options.epoch,
-            book: options.loaded.jobs,
+            jobs: options.loaded.jobs,
             workerPort: options.workerPort,
             authority: new Authority(options.clock, options.store),
             history: new StepHistory(),
@@ -168,7 +180,7 @@
             getConfig: options.getConfig,
             predictRunMs: ({ spec, job }) =>
                 spec.isLongRunning ? Infinity : this.runTimes.estimate(job.queue, spec.estimateMs),
-            findYieldLimit: step => this.findYieldLimit(step),
+            findPreemptibleBelow: step => this.findPreemptibleBelow(step),
             confirmLeading: options.confirmLeading,
             findQueueByName: name => this.queues.find(name),
             record: (event, handleCommitted) => {
@@ -183,10 +195,10 @@
         };
     }
 
-    /** Members of a gang lose what they have done when one of them is stopped. */
-    private findYieldLimit({ spec, job }: Step): number | undefined {
-        const isUnharmed = spec.savesCheckpoints && !spec.isGang && !spec.isLongRunning;
-        return isUnharmed ? this.queues.find(job.queue)?.priority : undefined;
+    /** Excludes gangs: their members lose their work when one of them is stopped. */
+    private findPreemptibleBelow({ spec, job }: Step): number | undefined {
+        const keepsWork = spec.savesCheckpoints && !spec.isGang && !spec.isLongRunning;
+        return keepsWork ? this.queues.find(job.queue)?.priority : undefined;
     }
 
     private buildJournal(): Journal {
@@ -200,11 +212,11 @@
             loaded: options.loaded,
             encodeState: () => {
                 const { jobs } = options.loaded;
-                // What a snapshot leaves out, the records after it say again.
+                // Adoptions that a snapshot leaves out are repeated by the records after it.
                 jobs.adoptions.dropOthers(jobs.listConcernedWorkers());
                 return encodeJobs(jobs);
             },
-            computeExtraInterval: () => computeExtraRecordGap(options.lateness),
+            computeExtraInterval: () => computeExtraRecordInterval(options.lateness),
             handleDeposed: () => options.handleDeposed("the store refused a write under this leader's guard"),
         });
     }
@@ -218,7 +230,7 @@
             advice: this.advice,
             isStalled: () => this.journal.isStalled(),
             rankWaiting: () => this.rankWaiting(),
-            getKeepers: () => this.keepers,
+            getReservingGangs: () => this.reservingGangs,
             getLastPassAt: () => this.lastPassAt,
         });
     }
@@ -227,7 +239,7 @@
         if (this.passTimer !== undefined || this.closed) {
             return;
         }
-        const delay = Math.max(PASS_DELAY_MS, this.passTookMs * PASS_REST_FACTOR);
+        const delay = Math.max(PASS_DELAY_MS, this.passTookMs * PASS_PAUSE_FACTOR);
         this.passTimer = this.options.clock.schedule(delay, () => {
             this.passTimer = undefined;
             this.runPass();
@@ -237,7 +249,8 @@
     private runPass(): void {
         const { clock, metrics } = this.options;
         const begin = clock.now();
-        // While nothing can be made durable, nothing can be started.
+        // An assignment has to be durable before it is ordered, so nothing can be started while the store
+        // does not answer.
         if (this.journal.isStalled() || !this.context.authority.mayOrder()) {
             return;
         }
@@ -245,9 +258,9 @@
         const plan = planStarts({
             waiting: this.rankWaiting(),
             workersByPool,
-            unheardByPool: this.fleet.collectUnheard(),
+            unheardByPool: this.fleet.collectUnreported(),
             getPermits: step => this.permits.getPermits(step),
-            preemptionLooks: this.preemptionLooks,
+            preemptionLooks: this.preemptionAttempts,
             getClaimedCpu: workerId => this.permits.claims.getCpu(workerId),
             getAllowedShare: queue => this.permits.allowedShares.getShare(queue),
             isAdviceShort: this.advice.isShort(),
@@ -261,7 +274,7 @@
         this.permits.requestPermits(plan.wishes, begin, countWorkers(workersByPool));
         plan.preemptions.forEach(preemption => this.preemptRun(preemption));
         this.lastPassAt = begin;
-        this.keepers = plan.keepers;
+        this.reservingGangs = plan.keepers;
         this.passTookMs = clock.now() - begin;
         metrics.time("plan.took", this.passTookMs);
     }
@@ -291,10 +304,10 @@
         this.sweeps += 1;
         this.fleet.sweep();
         this.ends.sweep();
-        this.desk.refuseWhileStalled();
+        this.jobRequests.refuseWhileStalled();
         this.openOccurrences();
         if (this.sweeps % FORGET_EVERY_SWEEPS === 0) {
-            this.desk.forgetOld();
+            this.jobRequests.forgetOld();
         }
         if (this.sweeps % REPORT_EVERY_SWEEPS === 0) {
             this.report.report();
--- a/src/process/leader/lost-runs.ts
+++ b/src/process/leader/lost-runs.ts
@@ -1,4 +1,4 @@
-/** Records runs of which their workers say nothing any more. */
+/** Records the ends of runs that their workers do not report any more. */
 import type { Millis } from "../../common/clock.js";
 import type { WorkerSession } from "../dispatch/worker-session.js";
 import { RunPhase } from "../dispatch/worker-state.js";
@@ -6,20 +6,17 @@
 import { RunEnd } from "../jobs/job-events.js";
 import { CLEARED_MS } from "../jobs/worker-losses.js";
 import type { LeaderContext } from "./context.js";
-import type { EndDesk } from "./end-desk.js";
-import type { Member } from "./fleet.js";
+import type { FleetMember } from "./fleet.js";
+import type { RunEndHandler } from "./run-end-handler.js";
 import { RunLoss } from "./run-loss.js";
 
-/** The runs; see the module comment. */
+/** Declares runs lost, or not run if they never began. */
 export class LostRuns {
-    /**
-     * @param context - Shared parts.
-     * @param ends - Where ends of runs go.
-     */
-    constructor(private readonly context: LeaderContext, private readonly ends: EndDesk) {}
+    /** @param ends - Handles the ends of runs. */
+    constructor(private readonly context: LeaderContext, private readonly ends: RunEndHandler) {}
 
-    /** Gives up on everything that a worker ran. */
-    expireAll(member: Member, cause: RunLoss): void {
+    /** Declares all runs of a worker lost. */
+    expireAll(member: FleetMember, cause: RunLoss): void {
         const { state } = member;
         this.context.log.warn("CR1614", "runsLost", {
             workerId: state.id,
@@ -32,10 +29,11 @@
         }
     }
 
-    /** Records the end of a run that is no longer among its worker's. */
-    record({ state, session }: Member, record: RunRecord, cause: RunLoss): void {
+    /** Records the end of a run that was removed from its worker's state. */
+    record({ state, session }: FleetMember, record: RunRecord, cause: RunLoss): void {
         const { task, run, checkpoint, phase, wasSeen, isInherited, orderedAt } = record;
-        // A worker that answers shows whether the run ever began; of one that is gone it may have.
+        // A worker that answers has shown whether the run ever began; on a worker that is gone, an ordered
+        // run may have.
         const hasBegun = cause === RunLoss.absent ? wasSeen : phase !== RunPhase.reserved;
         if (!hasBegun) {
             this.ends.recordEnd({ state, task, run, end: RunEnd.notRun, checkpoint });
@@ -47,14 +45,14 @@
         this.ends.recordEnd({ state, task, run, end: RunEnd.lost, checkpoint, ranMs, lost });
     }
 
-    /** A task that has run alone for long needs its worker for itself no more. */
-    endExclusiveness({ state, session }: Member): void {
+    /** Ends the exclusive use of a worker by a task that has run alone for long enough to be cleared. */
+    endExclusiveness({ state, session }: FleetMember): void {
         const { exclusiveRun } = state;
         if (exclusiveRun === undefined || computeProvenMs(exclusiveRun, session) < CLEARED_MS) {
             return;
         }
         state.exclusiveRun = undefined;
-        const found = this.context.book.findTask(exclusiveRun.task);
+        const found = this.context.jobs.findTask(exclusiveRun.task);
         if (found !== undefined) {
             this.ends.crashes.clearTask(found.task);
         }
@@ -62,7 +60,10 @@
     }
 }
 
-/** Computes how long a run is known to have been at work: from its order, or its take-over, to its worker's last answer. */
+/**
+ * Computes how long a run is known to have been executing: from its order or adoption to its worker's last
+ * answer.
+ */
 function computeProvenMs({ wasSeen, orderedAt }: RunRecord, session: WorkerSession): Millis {
     return wasSeen ? Math.max(0, session.getAliveAt() - orderedAt) : 0;
 }
--- a/src/process/leader/missing-queues.ts
+++ b/src/process/leader/missing-queues.ts
@@ -1,31 +1,30 @@
-/** Says which queues with open jobs are missing from the configuration in force. */
+/** Logs the queues that have open jobs but no settings. */
 import type { ClusterConfig } from "../../version/cluster-config.js";
 import type { LeaderContext } from "./context.js";
 
 /**
- * The check; see the module comment.
+ * Logs each queue with open jobs once when it is found to have no settings.
  *
- * @remarks Failure guarded against: the operator has removed a queue with open jobs that an earlier version accepted, without
- * recording its settings. They are left out of every pass, so they neither run nor end, and their callers wait. Each queue is
- * named once.
+ * @remarks This happens when an operator removes a queue whose jobs were accepted by an earlier version that
+ * did not record the queue's settings. The jobs are left out of every pass, so they neither run nor end, and
+ * their callers wait.
  */
 export class MissingQueues {
-    private checked: ClusterConfig | undefined;
-    private missing: ReadonlySet<string> = new Set();
+    private checkedConfig: ClusterConfig | undefined;
+    private loggedQueues: ReadonlySet<string> = new Set();
 
-    /** @param context - Shared parts. */
     constructor(private readonly context: LeaderContext) {}
 
-    /** Looks at the configuration in force, if it was not looked at yet. */
+    /** Checks the configuration in force, unless it has been checked already. */
     check(): void {
         const config = this.context.getConfig();
-        if (config === this.checked) {
+        if (config === this.checkedConfig) {
             return;
         }
-        this.checked = config;
+        this.checkedConfig = config;
         const openJobs = this.countOpenJobs();
         for (const [queue, jobs] of openJobs) {
-            if (!this.missing.has(queue)) {
+            if (!this.loggedQueues.has(queue)) {
                 this.context.log.warn("CR1618", "queueMissing", {
                     queue,
                     openJobs: jobs,
@@ -33,13 +32,13 @@
                 });
             }
         }
-        this.missing = new Set(openJobs.keys());
+        this.loggedQueues = new Set(openJobs.keys());
     }
 
     /** Counts the open jobs of each missing queue. */
     private countOpenJobs(): ReadonlyMap<string, number> {
         const counts = new Map<string, number>();
-        for (const { queue } of this.context.book.listOpen()) {
+        for (const { queue } of this.context.jobs.listOpen()) {
             if (this.context.findQueueByName(queue) === undefined) {
                 counts.set(queue, (counts.get(queue) ?? 0) + 1);
             }
--- a/src/process/leader/permit-desk.ts
+++ b/src/process/leader/permit-coordinator.ts
@@ -1,4 +1,4 @@
-/** Puts steps' questions to the advice service and keeps what it says. */
+/** Requests advice about the workers of each step, and stores the permits that the advice service grants. */
 import type { Millis } from "../../common/clock.js";
 import type { AdviceDesk, AdviceQuestion } from "../dispatch/advice-desk.js";
 import { REFRESH_MS, StepPermits } from "../dispatch/permits.js";
@@ -9,45 +9,45 @@
 import type { AdviceAnswer } from "../ports/task-worker-port.js";
 import type { LeaderContext } from "./context.js";
 
-/** Time between two replacements of a question for each waiting question and each worker that it looks at. */
+/** Time between two replacements of a request, per queued request and per worker that it chooses among. */
 const REFRESH_EACH_MS: Millis = 0.06;
-/** Parts into which questions of one pass are spread when they are replaced. */
+/** Number of groups into which the requests of one pass are spread when they are replaced. */
 const REFRESH_SPREAD = 8;
 
-/** A question that was put. */
-interface PutQuestion {
+/** A request to the advice service that has not been answered. */
+interface PendingRequest {
     readonly step: Step;
     readonly permits: StepPermits;
     readonly workerIds: readonly string[];
-    /** Time for which its permits are valid. */
+    /** Validity of its permits. */
     readonly validMs: Millis;
 }
 
-/** The desk; see the module comment. */
-export class PermitDesk {
-    /** Room that steps with a question under way will probably take. */
+/**
+ * Tracks at most one advice request per step, from the planning pass that makes it to the permits that answer
+ * it.
+ */
+export class PermitCoordinator {
+    /** Capacity that steps with a request in flight will probably use. */
     readonly claims = new RoomClaims();
-    /** Which share of the workers named is allowed. */
+    /** Share of the workers in a request that the advice service allows, by queue. */
     readonly allowedShares = new AllowedShares();
     private readonly permits = new WeakMap<Step, StepPermits>();
-    /** Questions that no node has taken yet. */
+    /** Requests that were not sent to a node yet. */
     private readonly waiting = new Map<Step, AdviceQuestion>();
-    /** Questions that were put or replaced. */
-    private puts = 0;
-    /** Workers among which a question chooses. */
-    private workers = 0;
+    /** Number of requests that were queued or replaced. */
+    private requestCount = 0;
+    /** Number of workers among which a request chooses. */
+    private workerCount = 0;
     private closed = false;
 
-    /**
-     * @param context - Shared parts.
-     * @param advice - Spreads questions over the nodes.
-     */
+    /** @param advice - Distributes requests over the nodes. */
     constructor(
         private readonly context: Pick<LeaderContext, "clock" | "log" | "metrics" | "requestPass">,
         private readonly advice: AdviceDesk,
     ) {}
 
-    /** Returns a step's permits. */
+    /** Returns a step's permits; creates an empty set for an unknown step. */
     getPermits(step: Step): StepPermits {
         const known = this.permits.get(step);
         if (known !== undefined) {
@@ -59,47 +59,48 @@
     }
 
     /**
-     * Puts the questions of a pass: one for each step, unless its question is under way.
+     * Queues the requests of a pass: one for each step, unless its request is in flight.
      *
-     * @remarks Failure guarded against: more questions are put than the nodes can ask. One that is answered after seconds in
-     * the line comes when its step's room has gone; the permits run out unused and are asked for again, until hardly any answer
-     * leads to a start and jobs stand still beside empty workers. So what waits is put anew again and again with what has
-     * room, and is taken out of the line once its step does not want it.
-     *
-     * Failure guarded against: a question grows old between the instant for which the pass looked and the end of the pass. The
-     * pass did not put it anew, and it would go out of the line though its step wants it.
-     * @param wishes - Questions of the pass.
-     * @param now - The instant for which the pass looked.
-     * @param workers - Workers among which each question chooses.
+     * @remarks When steps make more requests than the nodes can send, a request that was queued for seconds
+     * is answered after other steps have taken its step's capacity. Its permits expire unused and are
+     * requested again, until hardly any answer leads to a start and jobs wait beside idle workers. So queued
+     * requests are regularly replaced by ones for workers with free capacity, and withdrawn once their step
+     * does not want them.
+     * @param permitRequests - The requests of the pass.
+     * @param now - When the pass began. Staleness is judged at this time: a request that becomes stale during
+     * the pass was not replaced by it, and would be withdrawn though its step still wants it.
+     * @param workers - Number of workers among which each request chooses.
      */
-    requestPermits(wishes: readonly PermitWish[], now: Millis, workers = 0): void {
-        this.workers = workers;
+    requestPermits(permitRequests: readonly PermitWish[], now: Millis, workers = 0): void {
+        this.workerCount = workers;
         const stale = this.takeStale(now);
-        if (wishes.length === 0 && stale.length === 0) {
+        if (permitRequests.length === 0 && stale.length === 0) {
             return;
         }
-        // A step may want permits renewed and new workers named in one pass: what it could start with counts, then the first.
-        const ordered = [...wishes].sort((left, right) => Number(right.hasRoom) - Number(left.hasRoom));
-        ordered.forEach(wish => this.addQuestion(wish, now));
+        // A step may request renewals and new workers in one pass: a request with capacity wins, then the
+        // first.
+        const ordered = [...permitRequests].sort((left, right) =>
+            Number(right.hasRoom) - Number(left.hasRoom)
+        );
+        ordered.forEach(permitRequest => this.addRequest(permitRequest, now));
         stale.filter(step => !this.waiting.has(step)).forEach(step => this.getPermits(step).endQuestion());
         this.advice.replaceWaiting([...this.waiting.values()]);
     }
 
-    /** Wants no answer any more. */
+    /** Marks all requests as no longer wanted. */
     close(): void {
         this.closed = true;
     }
 
     /**
-     * Spreads the replacing of questions over time.
-     *
-     * @remarks The load this answers: hundreds of steps that wait. All replaced in one pass, several times a second, they
-     * take a large part of the leader's processor time.
+     * Computes when a request is to be replaced, spread over time: replacing the requests of hundreds of
+     * waiting steps in one pass, several times a second, would take a large part of the leader's processor
+     * time.
      */
     private computeRefreshMs(): Millis {
-        this.puts += 1;
-        const spread = 1 + (this.puts % REFRESH_SPREAD) / REFRESH_SPREAD;
-        return Math.max(REFRESH_MS, this.waiting.size * this.workers * REFRESH_EACH_MS * spread);
+        this.requestCount += 1;
+        const spread = 1 + (this.requestCount % REFRESH_SPREAD) / REFRESH_SPREAD;
+        return Math.max(REFRESH_MS, this.waiting.size * this.workerCount * REFRESH_EACH_MS * spread);
     }
 
     private takeStale(now: Millis): readonly Step[] {
@@ -108,14 +109,14 @@
         return stale;
     }
 
-    private addQuestion({ urgency, workerIds, hasRoom }: PermitWish, now: Millis): void {
+    private addRequest({ urgency, workerIds, hasRoom }: PermitWish, now: Millis): void {
         const { step, queue } = urgency;
         const permits = this.getPermits(step);
         if (queue.advice === undefined || this.waiting.has(step) || !permits.canAsk(now)) {
             return;
         }
         permits.startQuestion(now, workerIds.length, this.computeRefreshMs());
-        const put: PutQuestion = { step, permits, workerIds, validMs: queue.advice.validMs };
+        const pending: PendingRequest = { step, permits, workerIds, validMs: queue.advice.validMs };
         this.waiting.set(step, {
             step: step.name,
             workerIds,
@@ -125,32 +126,32 @@
             isFirst: !permits.hasAnswer(),
             since: permits.getWantedSince() ?? now,
             isWanted: () => !this.closed && step.job.spec !== undefined && step.waiting > 0,
-            handleSent: nodeName => this.handleSent(put, nodeName),
-            settle: (answer, askedAt) => this.settle(put, answer, askedAt),
+            handleSent: nodeName => this.handleSent(pending, nodeName),
+            settle: (answer, askedAt) => this.settle(pending, answer, askedAt),
         });
     }
 
-    private handleSent({ step, permits, workerIds }: PutQuestion, nodeName: string): void {
+    private handleSent({ step, permits, workerIds }: PendingRequest, nodeName: string): void {
         this.waiting.delete(step);
         this.claims.add(step, workerIds);
         permits.observeSent(nodeName, this.context.clock.now());
     }
 
-    private settle(put: PutQuestion, answer: AdviceAnswer | undefined, askedAt: Millis): void {
-        const nodeName = put.permits.getQuestion()?.nodeName;
-        put.permits.endQuestion();
-        this.waiting.delete(put.step);
-        this.claims.remove(put.step);
+    private settle(pending: PendingRequest, answer: AdviceAnswer | undefined, askedAt: Millis): void {
+        const nodeName = pending.permits.getQuestion()?.nodeName;
+        pending.permits.endQuestion();
+        this.waiting.delete(pending.step);
+        this.claims.remove(pending.step);
         if (answer === undefined) {
             return;
         }
-        this.logAnswer(put, answer, askedAt, nodeName);
-        this.acceptAnswer(put, answer);
+        this.logAnswer(pending, answer, askedAt, nodeName);
+        this.acceptAnswer(pending, answer);
         this.context.requestPass();
     }
 
     private logAnswer(
-        { step, workerIds }: PutQuestion,
+        { step, workerIds }: PendingRequest,
         answer: AdviceAnswer,
         askedAt: Millis,
         nodeName: string | undefined,
@@ -168,7 +169,7 @@
         });
     }
 
-    private acceptAnswer({ step, permits, workerIds, validMs }: PutQuestion, answer: AdviceAnswer): void {
+    private acceptAnswer({ step, permits, workerIds, validMs }: PendingRequest, answer: AdviceAnswer): void {
         const now = this.context.clock.now();
         if (answer.kind !== "done") {
             permits.observeFailure(now);
--- a/src/process/leader/requests.ts
+++ b/src/process/leader/requests.ts
@@ -1,38 +1,38 @@
-/** What callers ask of the cluster and what they are told, between any node and the leader. */
+/** Requests of callers and the replies to them, as exchanged between any node and the leader. */
 import type { Millis } from "../../common/clock.js";
 import type { JobPhase } from "../jobs/job-events.js";
 import type { JobSpec } from "../jobs/job-spec.js";
 
-/** A request of a caller: its queue is found by host and path. */
+/** The host and path of a request, by which its queue is found. */
 export interface QueueAddress {
     readonly host: string;
     readonly path: string;
 }
 
-/** What callers may ask. */
+/** A request of a caller. */
 export type CallerRequest =
     | ({ readonly kind: "submit"; readonly spec: JobSpec; } & QueueAddress)
     | ({ readonly kind: "show"; } & QueueAddress)
     | ({ readonly kind: "cancel"; } & QueueAddress);
 
-/** Why a request was refused. It has then not been carried out. */
+/** Why a request was refused. A refused request has not been carried out. */
 export const RefusalReason = {
-    /** The store does not answer, so nothing can be accepted for good. */
+    /** The store does not answer, so no acceptance can be made durable. */
     storeAway: "storeAway",
     /** No node leads at the moment. */
     noLeader: "noLeader",
-    /** The leader has no processor time left for more jobs. */
+    /** The leader has no processor time for more jobs, or the queue is on probation. */
     overloaded: "overloaded",
-    /** No configuration has been seen yet. */
+    /** No configuration has been received yet. */
     noConfig: "noConfig",
 } as const;
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** What callers are told. */
+/** A reply to a caller. */
 export type CallerReply =
-    /** The job is stored, or was before. */
+    /** The job is durable, now or since an earlier request. */
     | { readonly kind: "accepted"; }
-    /** It surely has not been carried out and will not be. */
+    /** The request has not been carried out and will not be. */
     | { readonly kind: "refused"; readonly reason: RefusalReason; readonly retryAfterMs: Millis; }
     /** No queue has this host and path. */
     | { readonly kind: "noQueue"; }
@@ -44,5 +44,5 @@
     | { readonly kind: "noJob"; }
     /** The path names neither a queue nor a job. */
     | { readonly kind: "malformed"; }
-    /** Nobody can tell whether it was carried out; asking again is safe. */
+    /** It is not known whether the request was carried out; repeating it is safe. */
     | { readonly kind: "unknown"; readonly message: string; };
--- a/src/process/leader/end-desk.ts
+++ b/src/process/leader/run-end-handler.ts
@@ -1,4 +1,4 @@
-/** What the end of a run means: for its task, its gang, its job, and for the worker that ran it. */
+/** Processes ends of runs: the consequences for the task, its gang, its job, and the worker that ran it. */
 import type { Millis } from "../../common/clock.js";
 import type { RunTimeModel } from "../dispatch/run-time-model.js";
 import { estimateObjectiveMs } from "../dispatch/urgency.js";
@@ -9,71 +9,68 @@
 import type { Job, Step, Task } from "../jobs/job.js";
 import { listSteps, TaskState } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
-import { CrashDesk } from "./crash-desk.js";
-import type { LostRun } from "./crash-desk.js";
+import { CrashTracker } from "./crash-tracker.js";
+import type { LostRun } from "./crash-tracker.js";
 import { GangStarts } from "./gang-starts.js";
 import { WorkerHealth } from "./worker-health.js";
 
 /** A run that ended. */
 export interface EndedRunNotice {
-    /** Undefined where the worker never appeared. */
+    /** Undefined if the worker never appeared. */
     readonly state: WorkerState | undefined;
     readonly task: string;
     readonly run: number;
     readonly end: RunEnd;
     readonly checkpoint: string;
-    /** Time since it was ordered; left out where this leader did not order it. */
+    /** Time since it was ordered; omitted if this leader did not order it. */
     readonly ranMs?: Millis;
-    /** Set where it was lost. */
+    /** Set if it was lost. */
     readonly lost?: LostRun;
 }
 
-/** Told of runs that have to end. */
+/** Ends runs on workers. */
 export interface RunStopper {
     stopTask(workerId: string, task: string, run: number): void;
-    /** Gives back the room of a run that was never ordered. */
+    /** Releases the capacity reserved for a run that was never ordered. */
     releaseTask(workerId: string, task: string, run: number): void;
 }
 
-/** The desk; see the module comment. */
-export class EndDesk {
+/** Records ends of runs, and closes the jobs that are done or can't be done any more. */
+export class RunEndHandler {
     private readonly health: WorkerHealth;
-    private readonly gangs: GangStarts;
-    /** Knows which tasks may crash their workers. */
-    readonly crashes: CrashDesk;
+    private readonly gangStarts: GangStarts;
+    /** Tracks which tasks may crash their workers. */
+    readonly crashes: CrashTracker;
     private stopper: RunStopper | undefined;
-    /** Runs of each task that this leader took for lost. */
+    /** Number of runs of each task that this leader declared lost. */
     private readonly lostRuns = new WeakMap<Task, number>();
 
-    /**
-     * @param context - Shared parts.
-     * @param runTimes - Learns from runs that end as done.
-     */
+    /** @param runTimes - Is updated with the run times of successful runs. */
     constructor(private readonly context: LeaderContext, private readonly runTimes: RunTimeModel) {
         this.health = new WorkerHealth(context);
-        this.gangs = new GangStarts(context, step => this.stopStep(step));
-        this.crashes = new CrashDesk(context, steps => this.closeStepsIfOver(steps));
+        this.gangStarts = new GangStarts(context, step => this.stopStep(step));
+        this.crashes = new CrashTracker(context, steps => this.closeStepsIfFinished(steps));
     }
 
-    /** Sets who stops runs. */
+    /** Sets the object that stops runs; until then no run can be stopped. */
     install(stopper: RunStopper): void {
         this.stopper = stopper;
     }
 
-    /** Takes in that members of a gang are being started. */
+    /** Records that members of a gang are being started. */
     observeGangStart(step: Step, run: number): void {
-        this.gangs.observeStart(step, run);
+        this.gangStarts.observeStart(step, run);
     }
 
-    /** Gives up on gangs that wait for missing members. Call it several times a second. */
+    /** Stops gangs that wait too long for missing members. Must be called several times a second. */
     sweep(): void {
-        this.gangs.sweep();
+        this.gangStarts.sweep();
     }
 
-    /** Takes in an end. Ends of runs that no task is waiting for change nothing. */
+    /** Records the end of a run; only logs it if the run is not its task's current one. */
     recordEnd(notice: EndedRunNotice): void {
         const { context } = this;
-        const found = context.book.findTask(notice.task);
+        const found = context.jobs.findTask(notice.task);
         const isCurrent = found !== undefined && isEffectiveEnd(found, notice.run, notice.end);
         this.reportEnd(notice, found, isCurrent);
         if (!isCurrent) {
@@ -95,21 +92,22 @@
         const loss = lost && this.crashes.resolveLoss(found.task, lost);
         context.record({ type: "ended", task, run, end, checkpoint, ...loss });
         if (step.spec.isGang) {
-            this.gangs.handleEnd(step, run, end);
+            this.gangStarts.handleEnd(step, run, end);
         }
-        this.closeIfOver(step.job, [step]);
+        this.closeIfFinished(step.job, [step]);
         context.requestPass();
     }
 
     /**
-     * Closes the jobs that are over. Call it when a leader takes over.
+     * Closes the jobs that are over. Must be called after a takeover.
      *
-     * @remarks Failure guarded against: a job's last end is durable, and the leader is lost before the close that follows
-     * from it. No end of the job comes any more, so it would never be closed, or be given an attempt too many.
+     * @remarks The previous leader may have been lost after a job's last end was durable and before it closed
+     * the job. No further end arrives for such a job, so it would never be closed, or would get one attempt
+     * too many.
      */
-    closeAllOver(): void {
-        for (const job of [...this.context.book.listOpen()]) {
-            this.closeIfOver(job, listSteps(job));
+    closeFinishedJobs(): void {
+        for (const job of [...this.context.jobs.listOpen()]) {
+            this.closeIfFinished(job, listSteps(job));
         }
     }
 
@@ -129,16 +127,16 @@
         metrics.count("runs.ended", 1, { end, cause });
     }
 
-    /** Counts a task's lost runs, this one with them. */
+    /** Counts a task's lost runs, including this one. */
     private countLoss(task: Task, isCurrent: boolean): number {
         const count = (this.lostRuns.get(task) ?? 0) + (isCurrent ? 1 : 0);
         this.lostRuns.set(task, count);
         return count;
     }
 
-    private closeStepsIfOver(steps: Iterable<Step>): void {
+    private closeStepsIfFinished(steps: Iterable<Step>): void {
         for (const step of steps) {
-            this.closeIfOver(step.job, [step]);
+            this.closeIfFinished(step.job, [step]);
         }
     }
 
@@ -149,7 +147,7 @@
         this.runTimes.observe(queue, step.spec.estimateMs, ranMs);
     }
 
-    /** Stops everything that steps have on workers, also those of a job that is over. */
+    /** Stops all runs of steps, even if their job is closed. */
     stopSteps(steps: Iterable<Step>): void {
         for (const step of steps) {
             this.stopStep(step);
@@ -157,10 +155,11 @@
     }
 
     /**
-     * Gives back what was reserved for a job whose acceptance is withdrawn.
+     * Releases the capacity reserved for a job whose acceptance is withdrawn.
      *
-     * @remarks Failure guarded against: the caller hands the refused job in again, its task gets the same name and run
-     * number, and the end of the first reservation is taken for the end of the new run, which is then started twice.
+     * @remarks If the caller submits the refused job again, its task gets the same name and run number. The
+     * end of a leftover reservation would be mistaken for the end of the new run, which would then be started
+     * twice.
      */
     releaseJob(job: Job): void {
         for (const step of listSteps(job)) {
@@ -173,7 +172,7 @@
     }
 
     private stopStep(step: Step): void {
-        this.gangs.observeStop(step);
+        this.gangStarts.observeStop(step);
         for (const task of step.tasks) {
             if (task.state === TaskState.assigned && task.workerId !== undefined) {
                 this.stopper?.stopTask(task.workerId, task.name, task.run);
@@ -182,11 +181,10 @@
     }
 
     /**
-     * Closes a job that is done or has used up its attempts.
-     * @param job - The job.
-     * @param steps - Those of its steps in which something has failed since it was last looked at.
+     * Closes a job that is done or can't be done any more.
+     * @param steps - The steps of the job in which a run may have failed since the last check.
      */
-    private closeIfOver(job: Job, steps: Iterable<Step>): void {
+    private closeIfFinished(job: Job, steps: Iterable<Step>): void {
         if (job.endedAt !== 0) {
             return;
         }
@@ -195,7 +193,7 @@
             return;
         }
         for (const step of steps) {
-            if (this.isHopeless(step)) {
+            if (this.isUnrecoverable(step)) {
                 this.stopSteps(listSteps(job));
                 this.closeJob(job, "failed");
                 return;
@@ -203,7 +201,7 @@
         }
     }
 
-    private isHopeless(step: Step): boolean {
+    private isUnrecoverable(step: Step): boolean {
         if (this.hasUsedAttempts(step)) {
             return true;
         }
@@ -214,15 +212,18 @@
         return crasher !== undefined;
     }
 
-    /** An attempt that is under way may still succeed, also where the queue has come to allow fewer since it began. */
+    /**
+     * Ignores failures of tasks with a pending run: it may succeed, even if the queue allows fewer attempts
+     * by now.
+     */
     private hasUsedAttempts({ job, spec, tasks, failures, lastFailedRun }: Step): boolean {
         const maxAttempts = this.context.findQueueByName(job.queue)?.maxAttempts ?? Infinity;
         const idle = tasks.filter(task => task.state !== TaskState.assigned);
-        const isGangTrying = tasks.some(({ state, run }) =>
+        const isGangAttemptPending = tasks.some(({ state, run }) =>
             state === TaskState.assigned && run > lastFailedRun
         );
         const mostFailures = spec.isGang ? failures : Math.max(...idle.map(task => task.failures));
-        return mostFailures >= maxAttempts && !spec.isLongRunning && !(spec.isGang && isGangTrying);
+        return mostFailures >= maxAttempts && !spec.isLongRunning && !(spec.isGang && isGangAttemptPending);
     }
 
     private closeJob(job: Job, phase: "completed" | "failed"): void {
@@ -237,7 +238,10 @@
         });
     }
 
-    /** What the job's time is to be compared with; undefined where its queue is not known. */
+    /**
+     * Estimates the duration with which the job's actual one is compared; undefined if its queue is not
+     * known.
+     */
     private estimateObjectiveMs(job: Job): Millis | undefined {
         const queue = this.context.findQueueByName(job.queue);
         if (queue === undefined || job.spec === undefined) {
--- a/src/process/leader/run-finder.ts
+++ b/src/process/leader/run-finder.ts
@@ -1,31 +1,33 @@
-/** Tells where the runs of assigned tasks are: on a worker of the fleet, or with an earlier leader's on one not heard yet. */
+/**
+ * Locates the runs of assigned tasks: on a worker of the fleet, or inherited on a worker without contact so
+ * far.
+ */
 import type { RunRecord, WorkerState } from "../dispatch/worker-state.js";
 import type { Step, Task } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
-import type { Member } from "./fleet.js";
+import type { FleetMember } from "./fleet.js";
 import type { InheritedRuns } from "./inherited-runs.js";
-import { buildRunView, isAtWork } from "./run-view.js";
+import { buildRunView, isRunExecuting } from "./run-view.js";
 import type { RunView } from "./run-view.js";
 
-/** The finder; see the module comment. */
+/** Locates runs among the fleet's workers and the inherited runs. */
 export class RunFinder {
     /**
-     * @param context - Shared parts.
-     * @param members - The fleet's workers by id, as they are at any time.
-     * @param inherited - Runs on workers that were not heard yet.
+     * @param members - The fleet's workers by id; the fleet goes on changing this map.
+     * @param inherited - Runs on workers without contact so far.
      */
     constructor(
         private readonly context: LeaderContext,
-        private readonly members: ReadonlyMap<string, Member>,
+        private readonly members: ReadonlyMap<string, FleetMember>,
         private readonly inherited: InheritedRuns,
     ) {}
 
-    /** Tells whether a worker's state, or the inherited runs, have a task's run. */
+    /** Whether a worker's state, or the inherited runs, contain the task's current run. */
     hasRun(task: Task): boolean {
         return this.findRecord(task) !== undefined || this.inherited.hasRun(task);
     }
 
-    /** Shows where a task's run is, and what is known of its worker. */
+    /** Shows where a task's run is, and what is known about its worker. */
     showRun(task: Task): RunView {
         const { workerId = "" } = task;
         const member = this.members.get(workerId);
@@ -38,11 +40,11 @@
         });
     }
 
-    /** Lists steps that have a run which was given to a worker and is not surely at work there. */
-    *listUnsureSteps(): Iterable<Step> {
+    /** Lists steps with a run that was given to a worker and is not known to be executing there. */
+    *listUncertainSteps(): Iterable<Step> {
         for (const { state } of this.members.values()) {
             for (const run of state.runs.values()) {
-                const step = isAtWork(state, run) ? undefined : this.findStep(state, run);
+                const step = isRunExecuting(state, run) ? undefined : this.findStep(state, run);
                 if (step !== undefined) {
                     yield step;
                 }
@@ -55,9 +57,9 @@
         return this.members.get(workerId)?.state.getRun(name, run);
     }
 
-    /** Finds the step that waits for a run; nothing waits for older runs of its tasks. */
+    /** Finds the step of a run; undefined if the run is not its task's current one. */
     private findStep(state: WorkerState, { task, run }: RunRecord): Step | undefined {
-        const found = this.context.book.findTask(task);
+        const found = this.context.jobs.findTask(task);
         const isCurrent = found?.task.run === run && found.task.workerId === state.id;
         return isCurrent ? found.step : undefined;
     }
--- a/src/process/leader/run-loss.ts
+++ b/src/process/leader/run-loss.ts
@@ -1,14 +1,16 @@
-/** How a leader comes to take a run for lost. */
+/** The evidence on which a leader declares a run lost. */
 
-/** Why a run is taken for lost. */
+/** Why a run was declared lost. */
 export const RunLoss = {
-    /** Another life answers at the worker's address: the worker's process has ended. */
+    /** Another incarnation answers at the worker's address, so the worker's process has ended. */
     replaced: "replaced",
-    /** The worker was silent until its lease had surely run out: it may be cut off, or its process has ended. */
+    /**
+     * No contact until the worker's lease had certainly expired: it is partitioned, or its process has ended.
+     */
     leaseOver: "leaseOver",
-    /** The worker answers, and does not list the run. */
+    /** The worker answers but does not list the run. */
     absent: "absent",
-    /** An earlier leader gave it to a worker that this one never heard. */
+    /** An earlier leader ordered it on a worker with which this leader never had contact. */
     unheard: "unheard",
 } as const;
 export type RunLoss = (typeof RunLoss)[keyof typeof RunLoss];
--- a/src/process/leader/run-view.ts
+++ b/src/process/leader/run-view.ts
@@ -1,4 +1,4 @@
-/** What a leader knows of a run that it, or an earlier leader, gave to a worker. */
+/** What a leader knows about a run that it, or an earlier leader, assigned to a worker. */
 import type { Millis } from "../../common/clock.js";
 import { RunPhase } from "../dispatch/worker-state.js";
 import type { RunRecord, WorkerState } from "../dispatch/worker-state.js";
@@ -6,48 +6,48 @@
 /** Where a run is. */
 export const RunPlace = {
     ...RunPhase,
-    /** An earlier leader gave it to a worker that this one has not heard. */
+    /** An earlier leader assigned it to a worker with which this leader has had no contact. */
     unheard: "unheard",
-    /** Nothing has it: see `unheld-runs.ts`. */
+    /** No worker's state and no inherited run contains it: see `unheld-runs.ts`. */
     nowhere: "nowhere",
 } as const;
 export type RunPlace = (typeof RunPlace)[keyof typeof RunPlace];
 
-/** A run and its worker. */
+/** The state of a run and of its worker. */
 export interface RunView {
     readonly place: RunPlace;
-    readonly isAtWork: boolean;
+    readonly isExecuting: boolean;
     readonly isInherited: boolean;
-    /** Time since it was ordered, or taken over; undefined where the worker was not heard. */
+    /** Time since it was ordered or adopted; undefined without contact with the worker. */
     readonly ageMs: Millis | undefined;
-    /** Whether the worker stands in the list, answers, and has been adopted; all false where it was not heard. */
+    /** Whether the worker is listed, answers, and has been adopted; all false without contact with it. */
     readonly isListed: boolean;
     readonly isReachable: boolean;
     readonly isAdopted: boolean;
-    /** Time until the worker's lease has surely run out unless it is heard; below 0 where it has. */
+    /** Time until the worker's lease has certainly expired if it is not renewed; negative once it has. */
     readonly leaseLeftMs: Millis;
 }
 
-/** What a view is built from. */
+/** The data from which a view is built. */
 export interface RunViewParts {
     readonly record: RunRecord | undefined;
-    /** Whether it is an earlier leader's, on a worker that was not heard. */
+    /** Whether an earlier leader ordered it, on a worker without contact so far. */
     readonly isInherited: boolean;
     readonly state: WorkerState | undefined;
     readonly leaseEnd: Millis;
     readonly now: Millis;
 }
 
-/** Tells whether a run is surely at work: its worker has said so and goes on answering. */
-export function isAtWork(state: WorkerState, run: RunRecord): boolean {
+/** Whether a run is known to be executing: its worker has reported it and still answers. */
+export function isRunExecuting(state: WorkerState, run: RunRecord): boolean {
     return run.phase === RunPhase.running && state.isReachable;
 }
 
-/** Builds a view. */
+/** Builds the view of one run. */
 export function buildRunView({ record, isInherited, state, leaseEnd, now }: RunViewParts): RunView {
     return {
         place: record?.phase ?? (isInherited ? RunPlace.unheard : RunPlace.nowhere),
-        isAtWork: record !== undefined && state !== undefined && isAtWork(state, record),
+        isExecuting: record !== undefined && state !== undefined && isRunExecuting(state, record),
         isInherited: record?.isInherited ?? isInherited,
         ageMs: record === undefined ? undefined : now - record.orderedAt,
         isListed: state?.isListed ?? false,
--- a/src/process/leader/starter.ts
+++ b/src/process/leader/starter.ts
@@ -1,4 +1,7 @@
-/** Carries out planned starts: takes room, makes the assignment durable, orders the run, and settles the answer. */
+/**
+ * Executes planned starts: reserves capacity, makes the assignment durable, orders the run, and handles the
+ * answer.
+ */
 import type { Millis } from "../../common/clock.js";
 import type { StepPermits } from "../dispatch/permits.js";
 import type { PlannedStart } from "../dispatch/plan.js";
@@ -10,39 +13,39 @@
 import { OrderRefusal } from "../ports/task-worker-port.js";
 import type { WorkerAnswer } from "../ports/task-worker-port.js";
 import type { LeaderContext } from "./context.js";
-import type { EndDesk } from "./end-desk.js";
 import type { Fleet } from "./fleet.js";
 import { OrderRefusals } from "./order-refusals.js";
+import type { RunEndHandler } from "./run-end-handler.js";
 
 /**
- * Time on the worker's clock for which an order may still be carried out. It is short so that an order without an
- * answer is settled by the next report after it; the worker's lease is longer and not shortened by it.
+ * Validity of an order on the worker's clock. It is short so that the first report after it settles an order
+ * without an answer. The worker's lease is longer and independent of it.
+ */
+const ORDER_VALIDITY_MS: Millis = 1_000;
+/**
+ * Time in which reports settle an order without an answer: its validity plus the longest wait of a report.
  */
-const ORDER_LIFE_MS: Millis = 1_000;
-/** Time in which reports settle an order without an answer: its life, and the longest wait of a report. */
-const SETTLE_MS: Millis = ORDER_LIFE_MS + 1_000;
-/** A worker that calls itself unhealthy, or that cannot be reached, gets nothing new for this long. */
+const SETTLE_MS: Millis = ORDER_VALIDITY_MS + 1_000;
+/** Pause of a worker that reports itself unhealthy, refuses for lack of capacity, or can't be reached. */
 const UNHEALTHY_PAUSE_MS: Millis = 1_000;
 
-/** The starter; see the module comment. */
+/** Executes the starts of each planning pass. */
 export class Starter {
-    /** What planning has to leave out. */
+    /** The workers that planning must leave out for a step after refusals. */
     readonly refusals = new OrderRefusals();
 
     /**
-     * @param context - Shared parts.
-     * @param fleet - Workers.
-     * @param ends - Takes runs that never began.
-     * @param getPermits - Permits of a step.
+     * @param ends - Handles the runs that never began.
+     * @param getPermits - Returns the permits of a step.
      */
     constructor(
         private readonly context: LeaderContext,
         private readonly fleet: Fleet,
-        private readonly ends: EndDesk,
+        private readonly ends: RunEndHandler,
         private readonly getPermits: (step: Step) => StepPermits,
     ) {}
 
-    /** Begins planned starts. All members of a gang get the same run number. */
+    /** Assigns the planned tasks. All members of a gang get the same run number. */
     startAll(starts: readonly PlannedStart[]): void {
         const gangRuns = new Map<Step, number>();
         for (const start of starts) {
@@ -67,7 +70,7 @@
             demand: step.spec.demand,
             phase: RunPhase.reserved,
             settledAfter: Infinity,
-            yieldsBelow: this.context.findYieldLimit(step),
+            yieldsBelow: this.context.findPreemptibleBelow(step),
             isLasting: step.spec.isLongRunning,
             isExclusive: isSuspect(task),
             isProbe,
@@ -76,9 +79,9 @@
             orderedAt: this.context.clock.now(),
         });
         worker.addRun(record);
-        const { book, epoch } = this.context;
+        const { jobs, epoch } = this.context;
         const { workerId, address } = worker.record;
-        const isAddressKept = book.adoptions.get(workerId)?.address === address;
+        const isAddressKept = jobs.adoptions.get(workerId)?.address === address;
         const event = { type: "assigned", task: task.name, run, workerId, epoch } as const;
         this.context.record(
             isAddressKept ? event : { ...event, address },
@@ -103,11 +106,11 @@
             return;
         }
         if (worker.isOverdrawn()) {
-            this.settleNotRun(start, record, "its room has shrunk");
+            this.settleNotRun(start, record, "the worker's capacity has shrunk");
             return;
         }
         record.phase = RunPhase.ordered;
-        record.settledAfter = Math.floor(workerNow + ORDER_LIFE_MS);
+        record.settledAfter = Math.floor(workerNow + ORDER_VALIDITY_MS);
         record.orderedAt = context.clock.now();
         const { task, run, checkpoint } = record;
         const answer = await session.start({
@@ -157,8 +160,9 @@
                 this.settleNotRun(start, record, "not sent");
                 return;
             case "unknown":
-                // The reports settle it: see `settledAfter`. Until then room and task stay taken, so the pause for the
-                // step counts from then: one that is over by then would give the worker the next order too.
+                // Reports settle it: see `settledAfter`. Until then capacity and task stay reserved, so the
+                // pause for the step starts at that time; a pause that ended earlier would send the next
+                // order to the same worker.
                 worker.avoidedUntil = this.context.clock.now() + UNHEALTHY_PAUSE_MS;
                 this.context.history.observeRefusal(step, { workerId: worker.id, reason: "unanswered" });
                 this.refusals.observe(step, worker.id, this.context.clock.now() + SETTLE_MS);
@@ -206,7 +210,7 @@
     }
 }
 
-/** A whole gang gets the next run; missing members join the run of the others. */
+/** Returns the next run for a whole gang, and the current run for missing members that join the others. */
 function chooseGangRun(step: Step): number {
     return step.repairRun ?? Math.max(...step.tasks.map(member => member.run)) + 1;
 }
--- a/src/process/leader/state-report.ts
+++ b/src/process/leader/state-report.ts
@@ -1,18 +1,18 @@
-/** Logs once a second how a leader and its cluster are. */
+/** Logs the state of a leader and its cluster once a second. */
 import type { Millis } from "../../common/clock.js";
 import type { AdviceDesk } from "../dispatch/advice-desk.js";
 import { MissingQueues } from "./missing-queues.js";
 import { WaitingReport } from "./waiting-report.js";
 import type { WaitingReportOptions } from "./waiting-report.js";
 
-/** What the report reads. */
+/** The state that the report reads. */
 export interface StateReportOptions extends WaitingReportOptions {
     readonly advice: AdviceDesk;
     /** Returns when the last pass was made; undefined before the first. */
     readonly getLastPassAt: () => Millis | undefined;
 }
 
-/** The report; see the module comment. */
+/** Logs the leader's state, missing queues and long waits, and sets the gauges. */
 export class StateReport {
     private readonly missingQueues: MissingQueues;
     private readonly waiting: WaitingReport;
@@ -22,22 +22,22 @@
         this.waiting = new WaitingReport(options);
     }
 
-    /** Takes in that a newer configuration is in force. */
+    /** Handles a newer configuration that has come into force. */
     handleConfig(): void {
         this.missingQueues.check();
     }
 
-    /** Writes the lines and sets the gauges. Call it once a second. */
+    /** Writes the log lines and sets the gauges. Must be called once a second. */
     report(): void {
         const { context, advice, fleet, isStalled, getLastPassAt } = this.options;
-        const { clock, log, metrics, epoch, book, authority } = context;
+        const { clock, log, metrics, epoch, jobs, authority } = context;
         const now = clock.now();
         const lastPassAt = getLastPassAt();
         this.missingQueues.check();
         const waiting = this.waiting.report();
         const fields = {
             epoch,
-            openJobs: book.countOpen(),
+            openJobs: jobs.countOpen(),
             usableWorkers: fleet.countUsable(now),
             questions: advice.countWaiting(),
             storeAway: isStalled(),
--- a/src/process/leader/wait-room.ts
+++ b/src/process/leader/step-capacity.ts
@@ -1,37 +1,36 @@
-/** How much room there is for one waiting step, and who has most of what is taken. */
+/** The capacity that is available to one waiting step, and which step uses most of the rest. */
 import type { Millis } from "../../common/clock.js";
 import type { StepPermits } from "../dispatch/permits.js";
 import type { PoolView, Slot } from "../dispatch/pool-view.js";
 import { countFitting } from "../dispatch/question-size.js";
 import type { Step } from "../jobs/job.js";
 
-/** Room for one step. */
-export interface WaitRoom {
-    /** Usable workers of the pool. */
+/** Capacity available to one step. */
+export interface StepCapacity {
+    /** Number of usable workers in the pool. */
     readonly poolUsable: number;
-    /** Usable workers that may and could run the step. */
+    /** Number of usable workers that are suitable for the step and permitted to run it. */
     readonly usable: number;
-    /** Tasks of the step for which they have room now. */
+    /** Number of the step's tasks for which they have free capacity now. */
     readonly places: number;
-    /** Those of them for which no permit lacks or has run out. */
+    /** Number of these places with a valid permit. */
     readonly permittedPlaces: number;
-    /** Step that has most of these workers' processors; undefined where nothing runs there. */
+    /** The step that uses most of these workers' processors; undefined if nothing runs there. */
     readonly mostTakenBy: string | undefined;
 }
 
 /**
- * Computes the room for a step.
- * @param step - A step that waits.
+ * Computes the capacity for a waiting step.
  * @param pool - The usable workers of its pool.
- * @param permits - What the advice service has said; undefined where the queue needs no permits.
- * @param now - On our clock.
+ * @param permits - Undefined if the queue needs no permits.
+ * @param now - On this node's clock.
  */
-export function computeWaitRoom(
+export function computeStepCapacity(
     step: Step,
     pool: PoolView,
     permits: StepPermits | undefined,
     now: Millis,
-): WaitRoom {
+): StepCapacity {
     const candidates = pool.slots.filter(slot =>
         slot.isSuitable(step) && (permits === undefined || permits.isAllowed(slot.id))
     );
@@ -43,11 +42,11 @@
         usable: candidates.length,
         places: sumPlaces(step, candidates),
         permittedPlaces: sumPlaces(step, permitted),
-        mostTakenBy: findLargestTaker(candidates),
+        mostTakenBy: findLargestUser(candidates),
     };
 }
 
-/** Sums up the tasks that fit; more than wait are of no use. */
+/** Counts the tasks that fit, at most as many as wait. */
 function sumPlaces(step: Step, slots: readonly Slot[]): number {
     let places = 0;
     for (const slot of slots) {
@@ -57,14 +56,14 @@
     return Math.min(places, step.waiting);
 }
 
-function findLargestTaker(slots: readonly Slot[]): string | undefined {
-    const taken = new Map<string, number>();
+function findLargestUser(slots: readonly Slot[]): string | undefined {
+    const usedCpu = new Map<string, number>();
     let largest: string | undefined;
     for (const { worker } of slots) {
         for (const { step, demand } of worker.runs.values()) {
-            const sum = (taken.get(step) ?? 0) + demand.cpuMillis;
-            taken.set(step, sum);
-            if (largest === undefined || sum > (taken.get(largest) ?? 0)) {
+            const sum = (usedCpu.get(step) ?? 0) + demand.cpuMillis;
+            usedCpu.set(step, sum);
+            if (largest === undefined || sum > (usedCpu.get(largest) ?? 0)) {
                 largest = step;
             }
         }
--- a/src/process/leader/step-history.ts
+++ b/src/process/leader/step-history.ts
@@ -1,4 +1,7 @@
-/** When the runs of steps last began or ended, and which orders were refused since. Kept by the leader that saw it. */
+/**
+ * When the runs of steps last began or ended, and which orders were refused since, as observed by this
+ * leader.
+ */
 import type { Millis } from "../../common/clock.js";
 import type { Step } from "../jobs/job.js";
 
@@ -8,20 +11,20 @@
     readonly reason: string;
 }
 
-/** What is known of one step. */
+/** What is known about one step. */
 export interface StepRecord {
     /** When a run last began or ended; undefined before the first. */
     movedAt: Millis | undefined;
-    /** Orders that were refused since a run last began. */
+    /** Number of orders that were refused since a run last began. */
     refusals: number;
     lastRefusal: RefusedOrder | undefined;
 }
 
-/** The history; see the module comment. */
+/** Records the starts, ends and refusals of steps, in memory only. */
 export class StepHistory {
     private readonly records = new WeakMap<Step, StepRecord>();
 
-    /** Takes in that a run has begun. */
+    /** Records that a run has begun; this clears the refusals. */
     observeBegin(step: Step, now: Millis): void {
         const record = this.getRecord(step);
         record.movedAt = now;
@@ -29,25 +32,27 @@
         record.lastRefusal = undefined;
     }
 
-    /** Takes in that a run which had begun has ended. */
+    /** Records that a run which had begun has ended. */
     observeEnd(step: Step, now: Millis): void {
         this.getRecord(step).movedAt = now;
     }
 
-    /** Takes in that an order did not start its run. */
+    /** Records that an order did not start its run. */
     observeRefusal(step: Step, refusal: RefusedOrder): void {
         const record = this.getRecord(step);
         record.refusals += 1;
         record.lastRefusal = refusal;
     }
 
-    /** Finds what is known of a step. */
+    /** Finds what is known about a step. */
     find(step: Step): Readonly<StepRecord> | undefined {
         return this.records.get(step);
     }
 
-    /** Returns when a step, or one that it waited for, last had a run that began or ended; undefined where none did. */
-    findLastMove(step: Step): Millis | undefined {
+    /**
+     * Returns when a run of a step, or of one that it depends on, last began or ended; undefined if none did.
+     */
+    findLastChange(step: Step): Millis | undefined {
         let last = this.records.get(step)?.movedAt;
         for (const number of step.spec.after) {
             const earlier = step.occurrence.steps[number];
--- a/src/process/leader/unheld-runs.ts
+++ b/src/process/leader/unheld-runs.ts
@@ -1,44 +1,42 @@
-/** Looks for tasks that the book holds as assigned while nothing is left that could ever end their run. */
+/** Detects tasks that are recorded as assigned although nothing is left that could end their run. */
 import type { FoundTask } from "../jobs/job-registry.js";
 import { TaskState } from "../jobs/job.js";
 import type { Step, Task } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
 
-/** Tasks that are looked at in one check, so that a check of a large cluster stays short. */
+/** Most tasks visited in one check, so that a check stays short in a large cluster. */
 const MAX_CHECKED_TASKS = 2_000;
 
-/** Knows where runs are. */
-export interface RunHolder {
-    /** Tells whether a worker's state, or the runs inherited from earlier leaders, have a task's run. */
+/** Knows which runs have a record. */
+export interface RunLocator {
+    /**
+     * Whether a worker's state, or the runs inherited from earlier leaders, contain the task's current run.
+     */
     hasRun(task: Task): boolean;
 }
 
-/** A run that nothing has. */
+/** A run without a record. */
 interface UnheldRun {
     readonly step: Step;
     readonly run: number;
 }
 
 /**
- * The check; see the module comment.
+ * Detects runs whose record was dropped without an end. Such a task would stay assigned for as long as this
+ * leader leads: no pass starts it again, and no report or expired lease can end it.
  *
- * @remarks Failure guarded against: a run's record is dropped without an end. The task stays assigned for as long as this
- * leader leads, no pass starts it again, and no report or lease that runs out can end it. A task has either a record or an
- * end within one turn of the event loop, so one found without both between turns has this fault.
+ * @remarks A task gets either a record or an end within one turn of the event loop, so a task that has
+ * neither between two turns has this fault.
  */
 export class UnheldRuns {
     private unvisited: Iterator<FoundTask> | undefined;
     private readonly found = new Map<Task, UnheldRun>();
 
-    /**
-     * @param context - Shared parts; its book holds what is assigned.
-     * @param holder - Knows where runs are.
-     */
-    constructor(private readonly context: LeaderContext, private readonly holder: RunHolder) {}
+    constructor(private readonly context: LeaderContext, private readonly locator: RunLocator) {}
 
-    /** Looks at the next tasks, and says of each run without a holder once that it has none. Call it once a second. */
+    /** Checks the next tasks, and logs each unheld run once. Must be called once a second. */
     check(): void {
-        this.unvisited ??= this.context.book.listAssigned()[Symbol.iterator]();
+        this.unvisited ??= this.context.jobs.listAssigned()[Symbol.iterator]();
         for (let visited = 0; visited < MAX_CHECKED_TASKS; visited++) {
             const next = this.unvisited.next();
             if (next.done === true) {
@@ -49,7 +47,7 @@
         }
     }
 
-    /** Lists the steps of tasks that are still without a holder. */
+    /** Lists the steps of tasks whose runs are still unheld. */
     *listSteps(): Iterable<Step> {
         for (const [task, { step, run }] of this.found) {
             if (task.run === run && this.isUnheld(task)) {
@@ -74,9 +72,12 @@
         });
     }
 
-    /** Jobs may end between two checks: their tasks stay marked as assigned, and nothing waits for them. */
+    /**
+     * Ignores tasks of jobs that ended between two checks: these stay marked as assigned, and nothing waits
+     * for them.
+     */
     private isUnheld(task: Task): boolean {
-        return task.state === TaskState.assigned && !this.holder.hasRun(task) &&
-            this.context.book.findTask(task.name)?.task === task;
+        return task.state === TaskState.assigned && !this.locator.hasRun(task) &&
+            this.context.jobs.findTask(task.name)?.task === task;
     }
 }
--- a/src/process/leader/wait-cause.ts
+++ b/src/process/leader/wait-cause.ts
@@ -1,4 +1,4 @@
-/** Finds why a step waits. Pure: it reads what a leader holds when a line about the step is due. */
+/** Determines why a step waits, from the leader's state at the time when a log line about the step is due. */
 import type { Millis } from "../../common/clock.js";
 import type { OpenQuestion, StepPermits } from "../dispatch/permits.js";
 import type { RiskyBacklog } from "../dispatch/probation.js";
@@ -7,91 +7,98 @@
 import { countCrashes, isSuspect } from "../jobs/worker-losses.js";
 import type { LogValue } from "../telemetry.js";
 import type { RunView } from "./run-view.js";
+import type { StepCapacity } from "./step-capacity.js";
 import type { StepRecord } from "./step-history.js";
-import type { WaitRoom } from "./wait-room.js";
 
 /** Why a step waits. */
 export const WaitReason = {
-    /** Its queue is not in the configuration in force. */
+    /** Its queue has no settings, neither in the configuration in force nor recorded ones. */
     queueMissing: "queueMissing",
-    /** A step that it comes after is not done, and nothing of its job runs. */
+    /** A step that it depends on is not done, and nothing of its job runs. */
     earlierStep: "earlierStep",
     /** Some members of the gang have ended and others have not. */
     gangMembers: "gangMembers",
-    /** Its tasks are assigned, and at least one is not surely at work. */
+    /** Its tasks are assigned, and at least one is not known to be executing. */
     assigned: "assigned",
-    /** No pass is made: the store is away, or this leader may not order. */
+    /** No planning pass is made: the store is unavailable, or this leader may not send orders. */
     noPass: "noPass",
-    /** Nothing was asked of the advice service yet. */
+    /** The advice service was not asked about it yet. */
     notAsked: "notAsked",
-    /** Its question waits for a node that can ask. */
+    /** Its advice request is queued until a node can send it. */
     questionWaiting: "questionWaiting",
-    /** A node was asked and has not answered. */
+    /** A node was given its advice request and has not answered. */
     questionUnderWay: "questionUnderWay",
-    /** Its last question failed. */
+    /** Its last advice request failed. */
     questionFailed: "questionFailed",
-    /** All workers that were named are denied. */
+    /** The advice service denied all workers that it was asked about. */
     noneAllowed: "noneAllowed",
-    /** The workers that may and could run it are not usable now. */
+    /** None of the workers that are permitted and suitable is usable now. */
     noneUsable: "noneUsable",
-    /** The workers that may run it have no room. */
+    /** The workers that may run it have no free capacity. */
     noRoom: "noRoom",
-    /** They have room, and permits for them have run out. */
+    /** They have free capacity, but the permits for them have expired. */
     permitsExpired: "permitsExpired",
-    /** Workers refused the orders to start it. */
+    /** Workers refused orders to start it. */
     ordersRefused: "ordersRefused",
-    /** A more urgent gang keeps room that it cannot use yet. */
+    /** A more urgent gang reserves capacity that it can't use yet. */
     gangKeepsRoom: "gangKeepsRoom",
-    /** Its tasks were lost with their workers again and again, and wait until more is known of these. */
+    /**
+     * Its tasks were lost with their workers repeatedly, and pause until more is known about those workers.
+     */
     lossPause: "lossPause",
-    /** Tasks of its queue have been crashing workers, so that it starts on few of them, one step at a time. */
+    /**
+     * Tasks of its queue have been crashing workers, so its steps start on few workers, one step at a time.
+     */
     probation: "probation",
-    /** Its tasks may crash their workers, and no worker is idle that could run one alone. */
+    /** Its tasks are suspected of crashing workers, and no worker is idle that could run one alone. */
     noIdleWorker: "noIdleWorker",
-    /** Nothing stands in its way but steps that go first. */
+    /** Only more urgent steps go before it. */
     othersFirst: "othersFirst",
 } as const;
 export type WaitReason = (typeof WaitReason)[keyof typeof WaitReason];
 
-/** What a leader holds of a step that waits. */
+/** The leader's state concerning a step that waits. */
 export interface WaitingState {
     readonly step: Step;
-    /** Whether its queue is in the configuration in force. */
+    /** Whether its queue has settings, in force or recorded. */
     readonly hasQueue: boolean;
     readonly storeAway: boolean;
     readonly mayOrder: boolean;
-    /** Undefined where its queue needs none. */
+    /** Undefined if its queue needs no permits. */
     readonly permits: StepPermits | undefined;
-    /** Undefined where its queue is missing. */
-    readonly room: WaitRoom | undefined;
+    /** Undefined if its queue is missing. */
+    readonly capacity: StepCapacity | undefined;
     readonly record: Readonly<StepRecord> | undefined;
-    /** What waits of its queue, where that queue's tasks crash workers. */
+    /** The waiting steps of its queue, if that queue's tasks crash workers. */
     readonly backlog: RiskyBacklog | undefined;
-    /** A gang that kept room in the last pass. */
-    readonly keeper: Step | undefined;
+    /** A gang that reserved capacity in the last pass. */
+    readonly reservingGang: Step | undefined;
     /** Shows where a task's run is. */
     readonly showRun: (task: Task) => RunView;
-    /** Tells whether a task must wait after it was lost with its worker again and again. */
+    /** Whether a task must wait because it was lost with its workers repeatedly. */
     readonly isPaused: (task: Task) => boolean;
     readonly now: Millis;
 }
 
-/** Fields of a line. */
+/** Fields of a log line. */
 export type WaitFields = Readonly<Record<string, LogValue>>;
 
-/** Why a step waits, with what shows it. */
+/** Why a step waits, with the log fields that show it. */
 export interface WaitCause {
     readonly reason: WaitReason;
     readonly fields: WaitFields;
 }
 
-/** Finds one cause; undefined where it is not this one. */
+/** Checks for one cause; undefined if it does not apply. */
 type CauseFinder = (state: WaitingState) => WaitCause | undefined;
 
-/** An ordinary question is answered well within this: a longer one is what the step waits for, whatever else there is. */
-const LONG_QUESTION_MS: Millis = 3_000;
+/**
+ * Ordinary advice requests are answered well within this time. A longer one is reported as the cause, before
+ * all later ones.
+ */
+const LONG_REQUEST_MS: Millis = 3_000;
 
-/** In the order in which one cause hides the next. */
+/** In order of precedence: the first that applies is reported. */
 const CAUSE_FINDERS: readonly CauseFinder[] = [
     findMissingQueue,
     findEarlierStep,
@@ -100,41 +107,38 @@
     findNoPass,
     findLossPause,
     findProbation,
-    findLongQuestion,
+    findLongRequest,
     findLackOfAnswer,
     findLackOfWorkers,
     findLackOfIdleWorker,
-    findLackOfRoom,
+    findLackOfCapacity,
     findLackOfPermits,
     findRefusals,
-    findKeeper,
+    findReservingGang,
 ];
 
-/**
- * Finds why a step waits.
- * @param state - A step that waits.
- */
+/** Finds why a step waits; the cause is `othersFirst` if nothing else applies. */
 export function findWaitCause(state: WaitingState): WaitCause {
     for (const find of CAUSE_FINDERS) {
         const cause = find(state);
         if (cause !== undefined) {
-            return withUsualFields(cause, state);
+            return withCommonFields(cause, state);
         }
     }
-    return withUsualFields(buildCause(WaitReason.othersFirst), state);
+    return withCommonFields(buildCause(WaitReason.othersFirst), state);
 }
 
 function buildCause(reason: WaitReason, fields: WaitFields = {}): WaitCause {
     return { reason, fields };
 }
 
-function withUsualFields({ reason, fields }: WaitCause, state: WaitingState): WaitCause {
-    const { permits, room, record, storeAway, mayOrder, now } = state;
+function withCommonFields({ reason, fields }: WaitCause, state: WaitingState): WaitCause {
+    const { permits, capacity, record, storeAway, mayOrder, now } = state;
     return {
         reason,
         fields: {
             ...(storeAway || !mayOrder) && { storeAway, mayOrder },
-            ...room && describeRoom(room),
+            ...capacity && describeCapacity(capacity),
             ...permits && describePermits(permits, now),
             ...record && describeRefusals(record),
             ...fields,
@@ -162,8 +166,9 @@
 
 function findGangMembers(state: WaitingState): WaitCause | undefined {
     const { step } = state;
-    const isPart = step.spec.isGang && step.repairRun === undefined && step.waiting > 0 && step.assigned > 0;
-    return isPart ? buildCause(WaitReason.gangMembers, describeAssignedTask(state)) : undefined;
+    const isPartlyStarted = step.spec.isGang && step.repairRun === undefined && step.waiting > 0 &&
+        step.assigned > 0;
+    return isPartlyStarted ? buildCause(WaitReason.gangMembers, describeAssignedTask(state)) : undefined;
 }
 
 function findAssigned(state: WaitingState): WaitCause | undefined {
@@ -177,18 +182,18 @@
 }
 
 function findLossPause({ step, isPaused }: WaitingState): WaitCause | undefined {
-    const paused = findWaiting(step, isPaused);
+    const paused = findWaitingTask(step, isPaused);
     const isBlocked = paused !== undefined &&
-        (step.spec.isGang || findWaiting(step, task => !isPaused(task)) === undefined);
+        (step.spec.isGang || findWaitingTask(step, task => !isPaused(task)) === undefined);
     return isBlocked ? buildCause(WaitReason.lossPause, describeLosses(paused)) : undefined;
 }
 
 function findLackOfIdleWorker({ step }: WaitingState): WaitCause | undefined {
-    const suspect = findWaiting(step, isSuspect);
+    const suspect = findWaitingTask(step, isSuspect);
     return suspect && buildCause(WaitReason.noIdleWorker, describeLosses(suspect));
 }
 
-function findWaiting({ tasks }: Step, isWanted: (task: Task) => boolean): Task | undefined {
+function findWaitingTask({ tasks }: Step, isWanted: (task: Task) => boolean): Task | undefined {
     return tasks.find(task => task.state === TaskState.waiting && isWanted(task));
 }
 
@@ -204,75 +209,78 @@
     });
 }
 
-function findLongQuestion({ permits, now }: WaitingState): WaitCause | undefined {
-    const question = permits?.getQuestion();
-    // A question that leaves the line and comes back is a new one; its step has wanted an answer all the while.
-    const since = permits?.getWantedSince() ?? question?.since ?? now;
-    const isLong = question !== undefined && permits?.countFailures() === 0 &&
-        now - since >= LONG_QUESTION_MS;
-    return isLong ? buildQuestionCause(question) : undefined;
+function findLongRequest({ permits, now }: WaitingState): WaitCause | undefined {
+    const request = permits?.getQuestion();
+    // A request that is withdrawn from the queue and made again is a new one; its step has wanted an answer
+    // all the time.
+    const since = permits?.getWantedSince() ?? request?.since ?? now;
+    const isLong = request !== undefined && permits?.countFailures() === 0 &&
+        now - since >= LONG_REQUEST_MS;
+    return isLong ? buildRequestCause(request) : undefined;
 }
 
-/** No worker is allowed so far. */
+/** Applies while no worker is allowed. */
 function findLackOfAnswer({ permits }: WaitingState): WaitCause | undefined {
     if (permits === undefined || permits.countAllowed() > 0) {
         return undefined;
     }
-    return findQuestionCause(permits) ??
+    return findRequestCause(permits) ??
         buildCause(permits.countDenied() > 0 ? WaitReason.noneAllowed : WaitReason.notAsked);
 }
 
-function findLackOfWorkers({ room }: WaitingState): WaitCause | undefined {
-    return room?.usable === 0 ? buildCause(WaitReason.noneUsable) : undefined;
+function findLackOfWorkers({ capacity }: WaitingState): WaitCause | undefined {
+    return capacity?.usable === 0 ? buildCause(WaitReason.noneUsable) : undefined;
 }
 
-function findLackOfRoom({ step, room, keeper }: WaitingState): WaitCause | undefined {
-    if (room === undefined || room.places >= countNeeded(step)) {
+function findLackOfCapacity({ step, capacity, reservingGang }: WaitingState): WaitCause | undefined {
+    if (capacity === undefined || capacity.places >= countNeeded(step)) {
         return undefined;
     }
-    return buildCause(WaitReason.noRoom, { keeper: keeper?.name });
+    return buildCause(WaitReason.noRoom, { keeper: reservingGang?.name });
 }
 
-function findLackOfPermits({ step, permits, room }: WaitingState): WaitCause | undefined {
-    if (permits === undefined || room === undefined || room.permittedPlaces >= countNeeded(step)) {
+function findLackOfPermits({ step, permits, capacity }: WaitingState): WaitCause | undefined {
+    if (permits === undefined || capacity === undefined || capacity.permittedPlaces >= countNeeded(step)) {
         return undefined;
     }
-    return findQuestionCause(permits) ?? buildCause(WaitReason.permitsExpired);
+    return findRequestCause(permits) ?? buildCause(WaitReason.permitsExpired);
 }
 
 function findRefusals({ record }: WaitingState): WaitCause | undefined {
     return record !== undefined && record.refusals > 0 ? buildCause(WaitReason.ordersRefused) : undefined;
 }
 
-function findKeeper({ step, keeper }: WaitingState): WaitCause | undefined {
-    return keeper === undefined || keeper === step ?
+function findReservingGang({ step, reservingGang }: WaitingState): WaitCause | undefined {
+    return reservingGang === undefined || reservingGang === step ?
         undefined :
-        buildCause(WaitReason.gangKeepsRoom, { keeper: keeper.name });
+        buildCause(WaitReason.gangKeepsRoom, { keeper: reservingGang.name });
 }
 
-function findQuestionCause(permits: StepPermits): WaitCause | undefined {
+function findRequestCause(permits: StepPermits): WaitCause | undefined {
     if (permits.countFailures() > 0) {
         return buildCause(WaitReason.questionFailed);
     }
-    const question = permits.getQuestion();
-    return question && buildQuestionCause(question);
+    const request = permits.getQuestion();
+    return request && buildRequestCause(request);
 }
 
-function buildQuestionCause({ nodeName }: OpenQuestion): WaitCause {
+function buildRequestCause({ nodeName }: OpenQuestion): WaitCause {
     return buildCause(nodeName === undefined ? WaitReason.questionWaiting : WaitReason.questionUnderWay);
 }
 
-/** A gang starts as a whole; of other steps, and of gangs that lack members, any task will do. */
+/** A gang needs places for all its members; another step, or a gang that only lacks members, needs one. */
 function countNeeded(step: Step): number {
     return step.spec.isGang && step.repairRun === undefined ? step.waiting : 1;
 }
 
-function describeRoom({ poolUsable, usable, places, permittedPlaces, mostTakenBy }: WaitRoom): WaitFields {
+function describeCapacity(
+    { poolUsable, usable, places, permittedPlaces, mostTakenBy }: StepCapacity,
+): WaitFields {
     return { poolUsable, usable, places, permittedPlaces, mostTakenBy };
 }
 
 function describePermits(permits: StepPermits, now: Millis): WaitFields {
-    const question = permits.getQuestion();
+    const request = permits.getQuestion();
     const allowed = permits.countAllowed();
     const denied = permits.countDenied();
     return {
@@ -281,11 +289,11 @@
         denied,
         questions: permits.countQuestions(),
         questionFailures: permits.countFailures(),
-        ...question && {
-            questionMs: Math.round(now - question.since),
-            questionWorkers: question.workers,
-            askedNode: question.nodeName,
-            askedMs: question.sentAt === undefined ? undefined : Math.round(now - question.sentAt),
+        ...request && {
+            questionMs: Math.round(now - request.since),
+            questionWorkers: request.workers,
+            askedNode: request.nodeName,
+            askedMs: request.sentAt === undefined ? undefined : Math.round(now - request.sentAt),
         },
     };
 }
@@ -296,17 +304,17 @@
         { refusals, refusal: lastRefusal.reason, refusedBy: lastRefusal.workerId };
 }
 
-/** Describes the first assigned task that is not at work, with its worker. */
+/** Describes the first assigned task that is not executing, with its worker. */
 function describeAssignedTask({ step, showRun }: WaitingState): WaitFields {
     const assigned = step.tasks.filter(task => task.state === TaskState.assigned);
-    const idle = assigned.find(task => !showRun(task).isAtWork) ?? assigned[0];
-    if (idle === undefined) {
+    const shown = assigned.find(task => !showRun(task).isExecuting) ?? assigned[0];
+    if (shown === undefined) {
         return {};
     }
-    const { place, isInherited, ageMs, isListed, isReachable, isAdopted, leaseLeftMs } = showRun(idle);
+    const { place, isInherited, ageMs, isListed, isReachable, isAdopted, leaseLeftMs } = showRun(shown);
     return {
-        task: idle.name,
-        workerId: idle.workerId,
+        task: shown.name,
+        workerId: shown.workerId,
         place,
         isInherited,
         runAgeMs: ageMs === undefined ? undefined : Math.round(ageMs),
--- a/src/process/leader/waiting-report.ts
+++ b/src/process/leader/waiting-report.ts
@@ -1,65 +1,65 @@
-/** Writes a line about each step that has waited for long, with the reason. */
+/** Logs each step that has been waiting for long, with the reason. */
 import type { Millis } from "../../common/clock.js";
 import { PoolView } from "../dispatch/pool-view.js";
 import { compareUrgency } from "../dispatch/urgency.js";
 import type { Urgency } from "../dispatch/urgency.js";
 import type { Step } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
-import type { CrashDesk } from "./crash-desk.js";
+import type { CrashTracker } from "./crash-tracker.js";
 import type { Fleet } from "./fleet.js";
-import type { PermitDesk } from "./permit-desk.js";
+import type { PermitCoordinator } from "./permit-coordinator.js";
+import { computeStepCapacity } from "./step-capacity.js";
 import { UnheldRuns } from "./unheld-runs.js";
 import { findWaitCause } from "./wait-cause.js";
 import type { WaitCause } from "./wait-cause.js";
-import { computeWaitRoom } from "./wait-room.js";
 import { WaitingSteps } from "./waiting-steps.js";
-import type { Wait, WaitingLook } from "./waiting-steps.js";
+import type { Wait, WaitingScan } from "./waiting-steps.js";
 import type { WorkersByPool } from "./workers-by-pool.js";
 
-/** What the report reads. */
+/** The state that the report reads. */
 export interface WaitingReportOptions {
     readonly context: LeaderContext;
     readonly fleet: Fleet;
-    readonly permits: PermitDesk;
-    readonly crashes: CrashDesk;
-    /** Whether the store is away. */
+    readonly permits: PermitCoordinator;
+    readonly crashes: CrashTracker;
+    /** Whether the store is unavailable. */
     readonly isStalled: () => boolean;
-    /** Ranks all steps with something to start. */
+    /** Ranks all steps with tasks to start. */
     readonly rankWaiting: () => readonly Urgency[];
-    /** Returns the gangs that kept room in the last pass. */
-    readonly getKeepers: () => readonly Step[];
+    /** Returns the gangs that reserved capacity in the last pass. */
+    readonly getReservingGangs: () => readonly Step[];
 }
 
-/** What the lines of one report share. */
+/** State that the log lines of one report share. */
 interface ReportView {
     readonly now: Millis;
     readonly ranked: readonly Urgency[];
     readonly workersByPool: WorkersByPool;
 }
 
-/** The report; see the module comment. */
+/** Finds long waits, and logs why their steps wait. */
 export class WaitingReport {
     private readonly waiting: WaitingSteps;
     private readonly unheld: UnheldRuns;
 
     constructor(private readonly options: WaitingReportOptions) {
         const { context, fleet } = options;
-        this.waiting = new WaitingSteps(context.book, context.history);
+        this.waiting = new WaitingSteps(context.jobs, context.history);
         this.unheld = new UnheldRuns(context, fleet.runs);
     }
 
-    /** Looks at all open steps and writes the lines that are due. Call it once a second. */
-    report(): WaitingLook {
+    /** Scans all open steps and writes the log lines that are due. Must be called once a second. */
+    report(): WaitingScan {
         const { context, fleet, rankWaiting } = this.options;
         const now = context.clock.now();
         this.unheld.check();
-        const unsure = new Set([...fleet.runs.listUnsureSteps(), ...this.unheld.listSteps()]);
-        const look = this.waiting.observe(now, unsure);
-        if (look.due.length > 0) {
+        const uncertain = new Set([...fleet.runs.listUncertainSteps(), ...this.unheld.listSteps()]);
+        const scan = this.waiting.observe(now, uncertain);
+        if (scan.due.length > 0) {
             const view = { now, ranked: rankWaiting(), workersByPool: fleet.collectUsable(now) };
-            look.due.forEach(wait => this.logWait(wait, view));
+            scan.due.forEach(wait => this.logWait(wait, view));
         }
-        return look;
+        return scan;
     }
 
     private logWait({ step, since }: Wait, view: ReportView): void {
@@ -83,9 +83,9 @@
     }
 
     private findCause(step: Step, { now, workersByPool }: ReportView): WaitCause {
-        const { context, fleet, permits: desk, crashes, isStalled, getKeepers } = this.options;
+        const { context, fleet, permits: coordinator, crashes, isStalled, getReservingGangs } = this.options;
         const queue = context.findQueueByName(step.job.queue);
-        const permits = queue?.advice === undefined ? undefined : desk.getPermits(step);
+        const permits = queue?.advice === undefined ? undefined : coordinator.getPermits(step);
         const pool = queue && new PoolView(queue.pool, workersByPool.get(queue.pool) ?? [], [], now);
         return findWaitCause({
             step,
@@ -93,10 +93,10 @@
             storeAway: isStalled(),
             mayOrder: context.authority.mayOrder(),
             permits,
-            room: pool && computeWaitRoom(step, pool, permits, now),
+            capacity: pool && computeStepCapacity(step, pool, permits, now),
             record: context.history.find(step),
             backlog: crashes.findBacklog(step.job.queue),
-            keeper: getKeepers()[0],
+            reservingGang: getReservingGangs()[0],
             showRun: task => fleet.runs.showRun(task),
             isPaused: task => crashes.isPaused(task),
             now,
@@ -104,7 +104,7 @@
     }
 }
 
-/** Describes a step's place in the order; nothing where it has nothing to start. */
+/** Describes a step's rank among the waiting steps; empty if it has nothing to start. */
 function describeRank(step: Step, ranked: readonly Urgency[]): { lateness?: number; ahead?: number; } {
     const own = ranked.find(urgency => urgency.step === step);
     if (own === undefined) {
--- a/src/process/leader/waiting-steps.ts
+++ b/src/process/leader/waiting-steps.ts
@@ -1,107 +1,107 @@
-/** Follows which steps wait for long, and when a line about each is due. */
+/** Tracks which steps wait for long, and when a log line about each is due. */
 import type { Millis } from "../../common/clock.js";
 import type { JobRegistry } from "../jobs/job-registry.js";
 import { isStepReady, listSteps } from "../jobs/job.js";
 import type { Job, Step } from "../jobs/job.js";
 import type { StepHistory } from "./step-history.js";
 
-/** A step that has waited this long gets a line; the next one after twice the time, and so on. */
+/** A step that has waited this long is logged, then again after twice that time, and so on. */
 export const FIRST_LINE_MS: Millis = 3_000;
 const LINE_FACTOR = 2;
-/** Lines of one look; what is left over stays due. */
+/** Most log lines of one scan; the remaining ones stay due. */
 export const MAX_LINES = 5;
 
 /** A step that waits. */
 export interface Wait {
     readonly step: Step;
-    /** Since when, on our clock. */
+    /** When the wait began, on this node's clock. */
     readonly since: Millis;
 }
 
-interface FollowedWait extends Wait {
+interface TrackedWait extends Wait {
     since: Millis;
-    /** Length of the wait at which its next line is due. */
+    /** Duration of the wait at which its next log line is due. */
     nextLineMs: Millis;
-    /** Number of the look that found it last. */
-    look: number;
+    /** Number of the last scan that found it. */
+    scan: number;
 }
 
-/** What a look found. */
-export interface WaitingLook {
-    /** Steps that have waited long enough for a line. */
+/** Result of a scan. */
+export interface WaitingScan {
+    /** Number of steps that have waited long enough for a log line. */
     readonly count: number;
-    /** Longest wait of any step. */
+    /** Longest wait of all steps. */
     readonly longestMs: Millis;
-    /** Steps whose line is to be written now: those that are not held up by another step first, then the most overdue. */
+    /**
+     * Steps to be logged now: those that do not depend on another step first, then by how long the line is
+     * overdue.
+     */
     readonly due: readonly Wait[];
 }
 
 /**
- * The steps; see the module comment.
+ * Tracks the waits of steps.
  *
- * @remarks A step waits from the first look at which it could start something, or at which a run of it is not surely at
- * work, or from the last begin or end of one of its runs if that is later. Orders that are refused do not end a wait.
+ * @remarks A wait begins with the first scan in which the step has a task to start or a run that is not known
+ * to be executing, or with the last begin or end of one of its runs if that is later. Refused orders do not
+ * end a wait.
  */
 export class WaitingSteps {
-    private readonly waits = new WeakMap<Step, FollowedWait>();
-    private looks = 0;
-    private lookedAt: Millis = -Infinity;
+    private readonly waits = new WeakMap<Step, TrackedWait>();
+    private scans = 0;
+    private scannedAt: Millis = -Infinity;
 
-    /**
-     * @param book - All jobs.
-     * @param history - When runs began and ended.
-     */
-    constructor(private readonly book: JobRegistry, private readonly history: StepHistory) {}
+    constructor(private readonly jobs: JobRegistry, private readonly history: StepHistory) {}
 
     /**
-     * Looks at all open steps. Call it once a second.
-     * @param now - On our clock.
-     * @param unsure - Steps with a run that is not surely at work.
+     * Scans all open steps. Must be called once a second.
+     * @param now - On this node's clock.
+     * @param uncertain - Steps with a run that is not known to be executing.
      */
-    observe(now: Millis, unsure: ReadonlySet<Step>): WaitingLook {
-        const long: FollowedWait[] = [];
+    observe(now: Millis, uncertain: ReadonlySet<Step>): WaitingScan {
+        const long: TrackedWait[] = [];
         let longestMs: Millis = 0;
-        this.looks += 1;
-        for (const job of this.book.listOpen()) {
-            const hasRuns = hasAssigned(job);
+        this.scans += 1;
+        for (const job of this.jobs.listOpen()) {
+            const hasRuns = hasAssignedTasks(job);
             for (const step of listSteps(job)) {
-                if (!unsure.has(step) && !isWaiting(step, hasRuns)) {
+                if (!uncertain.has(step) && !isWaiting(step, hasRuns)) {
                     continue;
                 }
-                const wait = this.follow(step, now);
+                const wait = this.track(step, now);
                 longestMs = Math.max(longestMs, now - wait.since);
                 if (now - wait.since >= FIRST_LINE_MS) {
                     long.push(wait);
                 }
             }
         }
-        this.lookedAt = now;
+        this.scannedAt = now;
         return { count: long.length, longestMs, due: takeDue(long, now) };
     }
 
-    private follow(step: Step, now: Millis): Wait & FollowedWait {
+    private track(step: Step, now: Millis): Wait & TrackedWait {
         const known = this.waits.get(step);
-        const movedAt = this.history.findLastMove(step) ?? -Infinity;
-        const goesOn = known?.look === this.looks - 1 && movedAt <= known.since;
-        const wait = goesOn ? known : this.startWait(step, now, movedAt);
-        wait.look = this.looks;
+        const lastChangeAt = this.history.findLastChange(step) ?? -Infinity;
+        const isContinued = known?.scan === this.scans - 1 && lastChangeAt <= known.since;
+        const wait = isContinued ? known : this.startWait(step, now, lastChangeAt);
+        wait.scan = this.scans;
         return wait;
     }
 
-    private startWait(step: Step, now: Millis, movedAt: Millis): FollowedWait {
-        const since = movedAt > this.lookedAt ? movedAt : now;
-        const wait = { step, since, nextLineMs: FIRST_LINE_MS, look: this.looks };
+    private startWait(step: Step, now: Millis, lastChangeAt: Millis): TrackedWait {
+        const since = lastChangeAt > this.scannedAt ? lastChangeAt : now;
+        const wait = { step, since, nextLineMs: FIRST_LINE_MS, scan: this.scans };
         this.waits.set(step, wait);
         return wait;
     }
 }
 
-/** Later steps of a job of which anything runs do not wait for room. */
+/** Excludes later steps of a job that has runs: they wait for earlier steps, not for capacity. */
 function isWaiting(step: Step, hasRuns: boolean): boolean {
     return step.waiting > 0 && (!hasRuns || isStepReady(step));
 }
 
-function hasAssigned(job: Job): boolean {
+function hasAssignedTasks(job: Job): boolean {
     for (const step of listSteps(job)) {
         if (step.assigned > 0) {
             return true;
@@ -110,8 +110,8 @@
     return false;
 }
 
-/** Takes the waits whose line is due, and sets when the next one is. */
-function takeDue(waits: readonly FollowedWait[], now: Millis): readonly Wait[] {
+/** Returns the waits whose log line is due, and sets when their next one is. */
+function takeDue(waits: readonly TrackedWait[], now: Millis): readonly Wait[] {
     const due = waits
         .filter(wait => now - wait.since >= wait.nextLineMs)
         .sort(compareDue)
@@ -124,8 +124,11 @@
     return due;
 }
 
-/** By how long a line has been due: by the wait alone, second lines would keep other steps from their first. */
-function compareDue(left: FollowedWait, right: FollowedWait): number {
+/**
+ * Orders by how long a line is overdue. Ordered by the wait alone, repeated lines would displace other steps'
+ * first ones.
+ */
+function compareDue(left: TrackedWait, right: TrackedWait): number {
     return Number(isStepReady(right.step)) - Number(isStepReady(left.step)) ||
         left.since + left.nextLineMs - right.since - right.nextLineMs;
 }
--- a/src/process/leader/worker-health.ts
+++ b/src/process/leader/worker-health.ts
@@ -1,13 +1,13 @@
-/** Which workers get no new work for a while because they fail what they are given. */
+/** Ejection of workers that fail their runs: they get no new work for a while. */
 import type { Millis } from "../../common/clock.js";
 import type { WorkerState } from "../dispatch/worker-state.js";
 import { RunEnd } from "../jobs/job-events.js";
 import type { Job } from "../jobs/job.js";
 import type { LeaderContext } from "./context.js";
 
-/** Jobs that failed on a worker, without a success of a later run between, after which it is avoided. */
+/** Failed jobs, without a success of a later run in between, at which a worker is ejected. */
 const MAX_FAILED_JOBS = 2;
-/** First time for which it is avoided; doubles up to the longest while it goes on failing. */
+/** First ejection time; it doubles up to the longest one while the worker continues to fail. */
 const FIRST_PAUSE_MS: Millis = 2_000;
 const LONGEST_PAUSE_MS: Millis = 8_000;
 
@@ -21,26 +21,25 @@
 export interface EndOnWorker {
     readonly job: Job;
     readonly end: RunEnd;
-    /** When it was ordered, on our clock; undefined where an earlier leader did that. */
+    /** When it was ordered, on this node's clock; undefined if an earlier leader ordered it. */
     readonly orderedAt: Millis | undefined;
 }
 
 /**
- * Scores of workers.
+ * Counts failures by worker, and ejects workers that fail several jobs.
  *
- * @remarks Failure guarded against: a worker that fails everything ends its runs sooner than the others, so it has
- * room most often and draws in all work, and each task's attempts are used up there. Runs that it began while it was
- * well still end well on it and say nothing. Jobs that can never be done fail everywhere: one that has failed on another
- * worker says nothing about this one, and each job counts once, however many tasks it has.
+ * @remarks A worker that fails everything ends its runs sooner than the others, so it has free capacity most
+ * often, attracts most of the work, and uses up each task's attempts. Successes of runs ordered before its
+ * last failure don't prove it healthy. A job that can never succeed fails everywhere, so only the first
+ * worker on which a job fails is charged, and each job counts once, however many tasks it has.
  */
 export class WorkerHealth {
     private readonly scores = new WeakMap<WorkerState, Score>();
     private readonly failedOn = new WeakMap<Job, Set<WorkerState>>();
 
-    /** @param context - Shared parts. */
     constructor(private readonly context: LeaderContext) {}
 
-    /** Takes in an end. */
+    /** Records the end of a run on a worker. */
     observeEnd(state: WorkerState, { job, end, orderedAt }: EndOnWorker): void {
         const score = this.scores.get(state);
         if (end === RunEnd.done) {
--- a/src/process/leader/workers-by-pool.ts
+++ b/src/process/leader/workers-by-pool.ts
@@ -1,14 +1,10 @@
-/** Workers in groups, one for each pool. */
+/** Groups workers by pool. */
 import type { WorkerState } from "../dispatch/worker-state.js";
 
-/** Workers by the name of their pool. */
+/** Workers, by the name of their pool. */
 export type WorkersByPool = ReadonlyMap<string, readonly WorkerState[]>;
 
-/**
- * Groups workers.
- * @param states - All workers.
- * @param isWanted - Which of them are taken.
- */
+/** Groups the workers for which `isWanted` holds. */
 export function collectByPool(
     states: Iterable<WorkerState>,
     isWanted: (state: WorkerState) => boolean,
--- a/src/test/leader/advice-shortage_test.ts
+++ b/src/test/leader/advice-shortage_test.ts
@@ -1,10 +1,10 @@
 /**
- * More questions to the advice service than its nodes can put: what waits then, and for how long.
+ * Overload of the advice service: more requests than the nodes can send.
  *
- * An accepted job had one task stopped for a more urgent one. The other tasks of its step were done; this one stood still to the
- * end of the day, with most of the workers empty. Cause: questions stood in a line ordered by their queue's priority alone, were
- * sent long after they had been composed, and a part of the nodes was kept from them. Evidence: such jobs show `stepWaiting` with
- * `questionWaiting`, beside hundreds of `questions` in `leaderState`.
+ * A preempted task of an accepted job was never started again, although most workers were empty: pending
+ * requests were ordered by queue priority alone, sent long after they had been built, and kept from some of
+ * the nodes. Such jobs log `stepWaiting` with `questionWaiting`, beside hundreds of `questions` in
+ * `leaderState`.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -35,7 +35,7 @@
 const RUN_MS: Millis = 200;
 const DRAIN_MS: Millis = 14_000;
 
-/** A node's place in the waiting line of the service, which serves one question at a time for each node. */
+/** A node that calls an advice service which answers one request at a time for each node. */
 class SerialCaller implements AdviceCaller {
     private freeAt: Millis = 0;
     busyMs: Millis = 0;
@@ -56,10 +56,10 @@
     }
 }
 
-/** Steps of gangs, by name. */
+/** Names of the steps that are gangs. */
 const GANG_STEPS = new Set<string>();
 
-class Shortage {
+class ShortageFixture {
     readonly cell = new LeaderCell(6);
     readonly replies: CallerReply[] = [];
     callers: readonly SerialCaller[] = [];
@@ -91,7 +91,7 @@
         return this.submit("/tasks/", false);
     }
 
-    /** Submits a gang that needs all workers whole. */
+    /** Submits a gang that needs the full capacity of every worker. */
     submitWideGang(): number {
         GANG_STEPS.add(`${makeJobId(this.jobs + 1)}.0.0`);
         return this.submit("/gangs/", true, {
@@ -101,9 +101,9 @@
         });
     }
 
-    /** Submits a task that may be stopped. */
-    submitYieldingTask(): number {
-        return this.submit("/tasks/", false, { savesCheckpoints: true, estimateMs: YIELDING_RUN_MS });
+    /** Submits a task that may be preempted. */
+    submitPreemptibleTask(): number {
+        return this.submit("/tasks/", false, { savesCheckpoints: true, estimateMs: PREEMPTIBLE_RUN_MS });
     }
 
     countStarts(job: number): number {
@@ -121,21 +121,21 @@
     }
 }
 
-const YIELDING_RUN_MS: Millis = 1_500;
+const PREEMPTIBLE_RUN_MS: Millis = 1_500;
 const WIDE_RUN_MS: Millis = 2_000;
 
-describe("a shortage of answers from the advice service", () => {
-    it("does not keep a task of the last queue from starting beside empty workers", async () => {
-        // A caller's job was accepted and one of its tasks stood still for over a minute, though most of the workers were
-        // empty. Large gangs of the queue before it came faster than their questions to the advice service could be put, and
-        // each of those went ahead of the task's question, which stood in line for as long as gangs came.
-        const shortage = new Shortage();
+describe("an overloaded advice service", () => {
+    it("does not keep a task of the least urgent queue from starting on empty workers", async () => {
+        // A task of an accepted job stalled for over a minute although most workers were empty: large gangs
+        // of a more urgent queue arrived faster than their advice requests could be sent, and each went ahead
+        // of the task's request.
+        const shortage = new ShortageFixture();
         await shortage.start(2);
         const late: number[] = [];
-        for (let half = 0; half < 60; half++) {
+        for (let tick = 0; tick < 60; tick++) {
             shortage.submitGang();
             shortage.submitGang();
-            if (half % 10 === 5) {
+            if (tick % 10 === 5) {
                 late.push(shortage.submitTask());
             }
             await shortage.cell.clock.step(500);
@@ -143,14 +143,14 @@
         assert.deepEqual(late.filter(job => shortage.countStarts(job) === 0), []);
     });
 
-    it("ends soon after the load: no question is put for what cannot start", async () => {
-        // Jobs came for half a minute faster than questions could be put. A quarter of a minute after the last one most of
-        // the workers were empty and jobs still stood in line: permits ran out before their tasks had room, and were asked
-        // for again and again.
-        const shortage = new Shortage();
+    it("recovers soon after the load: no request is sent for what cannot start", async () => {
+        // Jobs arrived for 30 s faster than requests could be sent. 15 s after the last one most workers were
+        // empty and jobs still waited: permits expired before there was capacity for their tasks, and were
+        // requested again and again.
+        const shortage = new ShortageFixture();
         await shortage.start(4);
         const jobs: number[] = [];
-        for (let half = 0; half < 60; half++) {
+        for (let halfSecond = 0; halfSecond < 60; halfSecond++) {
             jobs.push(shortage.submitGang(), shortage.submitTask(), shortage.submitTask());
             await shortage.cell.clock.step(500);
         }
@@ -158,13 +158,13 @@
         assert.deepEqual(jobs.filter(job => shortage.countStarts(job) === 0), []);
     });
 
-    it("is not made by nodes that stand idle", async () => {
-        // Only large jobs came, and each waited seconds for its question, while three of eight nodes put none at all: they
-        // were kept for short questions, of which there were none.
-        const shortage = new Shortage();
+    it("leaves no nodes idle", async () => {
+        // Only large jobs arrived, and each waited seconds for its request, while three of eight nodes sent
+        // none at all: they were reserved for short requests, of which there were none.
+        const shortage = new ShortageFixture();
         await shortage.start(8);
         const jobs: number[] = [];
-        for (let tenth = 0; tenth < 100; tenth++) {
+        for (let round = 0; round < 100; round++) {
             jobs.push(shortage.submitGang());
             await shortage.cell.clock.step(100);
         }
@@ -174,24 +174,25 @@
         assert.deepEqual(jobs.filter(job => shortage.countStarts(job) === 0), []);
     });
 
-    it("does not keep a gang from the room that stops of less urgent tasks make for it", async () => {
-        // A gang of the first queue needed all workers. Tasks of the last queue ran there, which may be stopped for it, and
-        // more of them came, which had room. No stop is ordered before it is known which workers may run the gang, and its
-        // question stood behind those of the tasks for as long as these came: the gang never started.
-        const shortage = new Shortage();
+    it("does not keep a gang from the capacity that preemption of less urgent tasks frees for it", async () => {
+        // A gang of the more urgent queue needed all workers, where preemptible tasks of the other queue ran
+        // and more of them kept arriving and fitting. Nothing is preempted before it is known which workers
+        // may run the gang, and its request waited behind those of the tasks for as long as they arrived: the
+        // gang never started.
+        const shortage = new ShortageFixture();
         await shortage.start(2);
         const wide = new Set<string>();
         shortage.cell.getBehavior = task => {
             const isWide = wide.has(task.split(".")[0] ?? "");
             return {
                 demand: isWide ? WORKER_CAPACITY : { cpuMillis: 500, memoryMib: 64, accelerators: 0 },
-                runMs: isWide ? WIDE_RUN_MS : YIELDING_RUN_MS,
+                runMs: isWide ? WIDE_RUN_MS : PREEMPTIBLE_RUN_MS,
                 end: "done",
             };
         };
         const tasks = async (ms: Millis): Promise<void> => {
             for (let at: Millis = 0; at < ms; at += 50) {
-                shortage.submitYieldingTask();
+                shortage.submitPreemptibleTask();
                 await shortage.cell.clock.step(50);
             }
         };
--- a/src/test/leader/calm_test.ts
+++ b/src/test/leader/calm_test.ts
@@ -16,14 +16,14 @@
         { name: "runs steps in their order", spec: makeSpec({}, { after: [0] }), starts: 2, withinMs: 2_600 },
         { name: "runs a gang", spec: makeSpec({ taskCount: 6, isGang: true }), starts: 6, withinMs: 1_300 },
         {
-            name: "keeps to the limit of tasks for each worker",
+            name: "respects the limit of tasks for each worker",
             spec: makeSpec({ taskCount: 4, maxPerWorker: 1 }),
             starts: 4,
             withinMs: 2_600,
         },
     ];
     for (const { name, spec, starts, withinMs } of cases) {
-        it("says with a job's end how long it took and what it was to take", async () => {
+        it("logs a closed job with its objective", async () => {
             const cell = new LeaderCell(1);
             const leader = await cell.startLeader();
             await cell.clock.step(100);
@@ -60,7 +60,7 @@
         assert.equal(cell.starts.length, 3);
     });
 
-    it("takes a job that is handed in again as the same job", async () => {
+    it("treats a job that is submitted again as the same job", async () => {
         const cell = new LeaderCell(1);
         const leader = await cell.startLeader();
         assert.deepEqual(await cell.submit(leader, 1, makeSpec({})), { kind: "accepted" });
@@ -71,7 +71,7 @@
         assert.equal(cell.starts.length, 1);
     });
 
-    it("runs a failing task as often as its queue allows and then says so", async () => {
+    it("runs a failing task as often as its queue allows and then fails the job", async () => {
         const cell = new LeaderCell(2);
         cell.getBehavior = () => ({
             demand: { cpuMillis: 1_000, memoryMib: 1_024, accelerators: 0 },
@@ -102,7 +102,7 @@
         assert.deepEqual(await cell.show(leader, 1), { kind: "state", phase: "cancelled" });
     });
 
-    it("says which jobs and queues it does not know", async () => {
+    it("reports unknown jobs, unknown queues and malformed paths", async () => {
         const cell = new LeaderCell(1);
         const { leader } = await cell.startLeader();
         const cases = [
--- a/src/test/leader/cancellations_test.ts
+++ b/src/test/leader/cancellations_test.ts
@@ -1,16 +1,16 @@
-/** Cancelled jobs: what runs of them has to end, whatever a leader knows of the worker when its caller cancels. */
+/** Runs of cancelled jobs must end, whatever the leader knows of their worker when the job is cancelled. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { CORE, LeaderCell, makeJobId, makeSpec } from "./leader-cell.js";
 import type { TestLeader } from "./leader-cell.js";
 
 const ADDRESS = "10.0.0.1:80";
-/** Longest time from when the worker can be reached until the run has to be gone. */
+/** Longest time from when the worker can be reached until the run must have ended. */
 const STOP_LIMIT_MS = 1_500;
 
 interface Moment {
     readonly name: string;
-    /** Brings about what the leader knows of the worker when the job is cancelled. */
+    /** Sets up what the leader knows of the worker when the job is cancelled. */
     readonly prepare: (cell: LeaderCell) => Promise<TestLeader>;
     /** Lets the leader reach the worker again. */
     readonly restore: (cell: LeaderCell, leader: TestLeader) => void;
@@ -18,7 +18,7 @@
 
 const MOMENTS: readonly Moment[] = [
     {
-        name: "the leader has heard the worker",
+        name: "the leader has received a report from the worker",
         prepare: async cell => {
             const leader = await cell.startLeader();
             await cell.clock.step(500);
@@ -60,10 +60,10 @@
 ];
 
 describe("a cancelled job", () => {
-    it("keeps its room until the last of its tasks has stopped", async () => {
-        // A job is cancelled, and the leader is lost before its two tasks are stopped. The next leader finds them running,
-        // does not know any more what they need, and stops them. Once the first had ended the worker seemed empty, and new
-        // work overloaded it while the second was still being stopped.
+    it("keeps its capacity reserved until the last of its tasks has stopped", async () => {
+        // A job is cancelled, and the leader is lost before its two tasks are stopped. The next leader finds
+        // them running, no longer knows their demand, and stops them. Once the first had ended the worker
+        // seemed empty, and new work overloaded it while the second was still stopping.
         const cell = new LeaderCell(1);
         const half = { ...CORE, cpuMillis: 2_000 };
         cell.getBehavior = task => ({
@@ -93,9 +93,10 @@
     });
 
     for (const { name, prepare, restore } of MOMENTS) {
-        it(`runs nowhere any more, cancelled when ${name}`, async () => {
-            // All nodes lose power while a task runs that lasts until its job is cancelled. The next leader acknowledges
-            // the cancellation before it has heard the worker; the task ran on for ever, as no one was left to stop it.
+        it(`stops running when cancelled while ${name}`, async () => {
+            // All nodes lose power while a long-running task runs. The next leader acknowledges the job's
+            // cancellation before it has received a report from the worker; the task ran on forever, as
+            // nothing was left to stop it.
             const cell = new LeaderCell(1);
             cell.getBehavior = () => ({ demand: CORE, runMs: 600_000, end: "done" });
             const first = await cell.startLeader();
--- a/src/test/leader/crash-cell.ts
+++ b/src/test/leader/crash-cell.ts
@@ -1,34 +1,36 @@
-/** A leader's cell whose workers crash under some tasks and come back as new lives at the same addresses. */
+/**
+ * A leader cell whose workers crash under some tasks and restart at the same addresses as new incarnations.
+ */
 import type { Millis } from "../../common/clock.js";
 import { LeaderCell } from "./leader-cell.js";
-import type { SeenStart, TestLeader } from "./leader-cell.js";
+import type { RunStart, TestLeader } from "./leader-cell.js";
 
 /** Time from the start of a task to the crash that it causes. */
 const CRASH_AFTER_MS: Millis = 10;
 
-/** What a cell is made from. */
+/** Options of a {@link CrashCell}. */
 export interface CrashCellOptions {
     readonly workers: number;
-    /** How long a crashed worker is down. */
+    /** Time until a crashed worker restarts. */
     readonly downMs: Millis;
-    /** Tells whether a task crashes the worker that starts it. */
+    /** Returns whether a task crashes the worker that starts it. */
     readonly isCrashing: (task: string) => boolean;
 }
 
-/** The cell; see the module comment. */
+/** Runs a {@link LeaderCell} with crashing workers and one leader at a time. */
 export class CrashCell {
     readonly cell: LeaderCell;
     /** Starts under which a worker crashed. */
-    readonly crashes: SeenStart[] = [];
+    readonly crashes: RunStart[] = [];
     private current: TestLeader | undefined;
-    private lives = 0;
+    private restarts = 0;
 
     constructor(private readonly options: CrashCellOptions) {
         this.cell = new LeaderCell(options.workers);
         this.cell.handleStarted = start => this.observeStart(start);
     }
 
-    /** Returns the leader of the moment. */
+    /** The current leader. */
     get leader(): TestLeader {
         if (this.current === undefined) {
             throw new Error("no leader yet: call startLeader first");
@@ -36,7 +38,7 @@
         return this.current;
     }
 
-    /** Starts the first leader, or another one after the one before was lost. */
+    /** Starts the first leader, or closes the current one and starts its successor. */
     async startLeader(): Promise<TestLeader> {
         this.current?.leader.close();
         this.current = await this.cell.startLeader();
@@ -44,7 +46,7 @@
         return this.current;
     }
 
-    /** Ends the life of a worker; another one begins at its address later. */
+    /** Kills a worker; a new incarnation starts at its address after `downMs`. */
     killWorker(workerId: string): void {
         const { cell, options } = this;
         const address = cell.records.get(workerId)?.address;
@@ -53,16 +55,16 @@
         }
         cell.killWorker(address);
         cell.clock.schedule(options.downMs, () => {
-            this.lives += 1;
+            this.restarts += 1;
             cell.removeFromList(workerId);
-            cell.addWorker(`life-${this.lives}`, address);
+            cell.addWorker(`life-${this.restarts}`, address);
             if (this.current !== undefined) {
                 cell.refreshWorkers(this.current);
             }
         });
     }
 
-    private observeStart(start: SeenStart): void {
+    private observeStart(start: RunStart): void {
         if (!this.options.isCrashing(start.task)) {
             return;
         }
@@ -73,8 +75,8 @@
         });
     }
 
-    /** Members of a gang end with the one that is gone. */
-    private endRestOfGang({ task, run }: SeenStart): void {
+    /** Ends the other members of the gang that the crashed task belonged to. */
+    private endRestOfGang({ task, run }: RunStart): void {
         const step = task.slice(0, task.lastIndexOf("."));
         for (const other of this.cell.starts) {
             const address = this.cell.records.get(other.workerId)?.address;
--- a/src/test/leader/crash-suspects_test.ts
+++ b/src/test/leader/crash-suspects_test.ts
@@ -1,4 +1,4 @@
-/** Tasks that are lost with their workers though they did not crash them. */
+/** Tasks that are lost with their workers although they did not crash them. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -14,16 +14,16 @@
     readonly step?: Partial<StepSpec>;
     readonly runMs: Millis;
     readonly downMs: Millis;
-    /** Takes the worker of the task's run away. */
+    /** Makes the worker of the task's run unavailable. */
     readonly lose: (cell: CrashCell, workerId: string) => void;
     readonly losses: number;
     /** Time from the start of each run to its loss. */
     readonly afterMs: Millis;
-    /** What the caller is shown in the end. */
+    /** Phase that the caller is shown at the end of the test. */
     readonly phase: "completed" | "running";
 }
 
-/** Cuts a worker off until its runs have ended by its lease. */
+/** Cuts a worker off until its lease has expired and ended its runs. */
 function cutOff({ cell, leader }: CrashCell, workerId: string): void {
     const address = cell.records.get(workerId)?.address ?? "";
     const { faults } = leader.workers.getPath(address);
@@ -33,7 +33,7 @@
 
 const CASES: readonly Case[] = [
     {
-        name: "whose workers are cut off and go on",
+        name: "whose workers are cut off and keep running",
         runMs: 2_000,
         downMs: 0,
         lose: cutOff,
@@ -42,7 +42,7 @@
         phase: "completed",
     },
     {
-        name: "whose workers crash when it has run for long",
+        name: "whose workers crash after it has run for a long time",
         runMs: 20_000,
         downMs: 2_000,
         lose: (cell, workerId) => cell.killWorker(workerId),
@@ -51,7 +51,7 @@
         phase: "completed",
     },
     {
-        name: "that lasts, on workers that crash now and then",
+        name: "that is long-running, on workers that crash occasionally",
         step: { isLongRunning: true },
         runMs: 3_600_000,
         downMs: 2_000,
@@ -61,7 +61,7 @@
         phase: "running",
     },
     {
-        name: "that two crashes have hit",
+        name: "that has lost its worker to two crashes",
         runMs: 2_000,
         downMs: 2_000,
         lose: (cell, workerId) => cell.killWorker(workerId),
@@ -93,7 +93,7 @@
         });
     }
 
-    it("is looked for once on each worker that is gone, however long that stands in the list", async () => {
+    it("is looked for only once on each worker that is gone, however long the worker stays listed", async () => {
         const cell = new LeaderCell(1);
         cell.getBehavior = () => ({ demand: CORE, runMs: 60_000, end: "done" });
         const leader = await cell.startLeader();
@@ -111,7 +111,7 @@
         assert.equal(added.length, 1);
     });
 
-    it("runs alone after two losses, and others beside it once it has run for long", async () => {
+    it("runs in isolation after two losses, and shares its worker once it has run for a long time", async () => {
         const crashCell = new CrashCell({ workers: 2, downMs: 500, isCrashing: () => false });
         const { cell } = crashCell;
         cell.getBehavior = task => ({ demand: CORE, runMs: task === TASK ? 25_000 : 1_000, end: "done" });
--- a/src/test/leader/crashing-queue_test.ts
+++ b/src/test/leader/crashing-queue_test.ts
@@ -1,4 +1,4 @@
-/** A queue of which a fifth of the jobs crash their workers, beside one that does no harm. */
+/** A queue in which a fifth of the jobs crash their workers, next to a queue with harmless jobs. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -12,7 +12,7 @@
 const TICK_MS: Millis = 100;
 const LOAD_TICKS = 120;
 const DRAIN_MS: Millis = 40_000;
-/** Jobs of the other queue: four tasks of two seconds, one job each 400 ms. */
+/** Ticks between two jobs of the other queue: one job of four two-second tasks every 400 ms. */
 const OTHER_EVERY = 4;
 const FIRST_RISKY = 1_000;
 const RISKY_PREFIX = "/risky/";
@@ -23,17 +23,20 @@
     /** Runs of the other queue beyond one for each task. */
     readonly otherReruns: number;
     readonly otherOpen: number;
-    /** Jobs of the risky queue that do no harm: accepted, and not done in the end. */
+    /** Harmless jobs of the risky queue that were accepted and have not completed. */
     readonly harmlessOpen: number;
     readonly faults: readonly string[];
 }
 
-/** Tells whether a job of the risky queue crashes its workers. */
+/** Returns whether a job is one of the risky queue that crashes its workers. */
 function isCrashing(job: number): boolean {
     return job >= FIRST_RISKY && job % CRASHING_EVERY === 0;
 }
 
-/** Plays the load. */
+/**
+ * Runs the load of both queues.
+ * @param leadersLostAt - Ticks at which the leader is replaced.
+ */
 async function playLoad(leadersLostAt: readonly number[] = []): Promise<Outcome> {
     const crashCell = new CrashCell({
         workers: WORKERS,
@@ -74,8 +77,8 @@
         await cell.clock.step(TICK_MS);
     }
     await cell.clock.step(DRAIN_MS);
-    const { book } = crashCell.leader;
-    const isDone = (job: number): boolean => book.get(makeJobId(job))?.phase === "completed";
+    const { jobs: registry } = crashCell.leader;
+    const isDone = (job: number): boolean => registry.get(makeJobId(job))?.phase === "completed";
     const otherStarts = others.reduce((sum, job) => sum + cell.countStarts(job), 0);
     return {
         crashes: crashes.length,
@@ -89,42 +92,42 @@
 interface Case {
     readonly name: string;
     readonly leadersLostAt?: readonly number[];
-    /** Of 120 tasks. */
-    readonly mostReruns: number;
+    /** Bound on repeated runs of the other queue's 120 tasks. */
+    readonly maxReruns: number;
 }
 
 const CASES: readonly Case[] = [
-    { name: "under one leader", mostReruns: 14 },
-    { name: "under leaders that are lost meanwhile", leadersLostAt: [30, 70], mostReruns: 30 },
+    { name: "under one leader", maxReruns: 14 },
+    { name: "under leaders that are lost during the load", leadersLostAt: [30, 70], maxReruns: 30 },
 ];
 
-describe("a queue of which a fifth of the jobs crash their workers", () => {
-    for (const { name, leadersLostAt, mostReruns } of CASES) {
-        it(`does little harm to the work of others, and all that was accepted is done, ${name}`, async () => {
+describe("a queue in which a fifth of the jobs crash their workers", () => {
+    for (const { name, leadersLostAt, maxReruns } of CASES) {
+        it(`barely affects other queues, and all accepted harmless jobs complete, ${name}`, async () => {
             const outcome = await playLoad(leadersLostAt);
             assert.deepEqual(outcome.faults, []);
             assert.equal(outcome.otherOpen, 0);
             assert.equal(outcome.harmlessOpen, 0);
             const { otherReruns, crashes } = outcome;
             assert.ok(
-                otherReruns <= mostReruns,
-                `${otherReruns} runs of others begun again, ${crashes} crashes`,
+                otherReruns <= maxReruns,
+                `${otherReruns} repeated runs of the other queue, ${crashes} crashes`,
             );
         });
     }
 
     const admissions = [
-        { name: "is taken while nothing waits", steps: 0, workers: 4, kind: "admitted" },
+        { name: "is admitted while nothing waits", steps: 0, workers: 4, kind: "admitted" },
         {
-            name: "is refused where more wait than can have their turn soon",
+            name: "is refused while more steps wait than can be started soon",
             steps: 40,
             workers: 4,
             kind: "overloaded",
         },
-        { name: "is refused where all of its workers are away", steps: 1, workers: 0, kind: "overloaded" },
+        { name: "is refused while no worker is available", steps: 1, workers: 0, kind: "overloaded" },
     ] as const;
     for (const { name, steps, workers, kind } of admissions) {
-        it(`gets another job, which ${name}`, () => {
+        it(`receives another job, which ${name}`, () => {
             assert.equal(decideRiskyAdmission({ steps, probes: 0, workers }, 0.5).kind, kind);
         });
     }
--- a/src/test/leader/crashing-tasks_test.ts
+++ b/src/test/leader/crashing-tasks_test.ts
@@ -1,4 +1,4 @@
-/** Tasks that crash each worker that starts them. */
+/** Tasks that crash every worker that starts them. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -16,25 +16,25 @@
     readonly name: string;
     readonly downMs: Millis;
     readonly step?: Partial<StepSpec>;
-    /** Leaders that are lost, one each time that the task has crashed as many workers. */
+    /** Numbers of crashes after each of which the leader is lost. */
     readonly leadersLostAfter?: readonly number[];
-    /** Whether other jobs keep all workers busy. */
+    /** Whether other jobs keep all workers busy throughout. */
     readonly isFull?: boolean;
 }
 
 const CASES: readonly Case[] = [
-    { name: "workers come back at once", downMs: 50 },
-    { name: "workers come back after some seconds", downMs: 3_000 },
-    { name: "workers come back when their leases have run out", downMs: 9_000 },
+    { name: "workers restart at once", downMs: 50 },
+    { name: "workers restart after some seconds", downMs: 3_000 },
+    { name: "workers restart after their leases have expired", downMs: 9_000 },
     { name: "the leader is lost after each crash", downMs: 3_000, leadersLostAfter: [1, 2, 3, 4] },
     { name: "a member of a gang crashes its worker", downMs: 3_000, step: { taskCount: 3, isGang: true } },
-    { name: "the task is to last", downMs: 3_000, step: { isLongRunning: true } },
-    { name: "no worker is ever idle by itself", downMs: 3_000, isFull: true },
+    { name: "the task is long-running", downMs: 3_000, step: { isLongRunning: true } },
+    { name: "no worker ever becomes idle", downMs: 3_000, isFull: true },
 ];
 
 describe("a task that crashes the workers that start it", () => {
     for (const { name, downMs, step = {}, leadersLostAfter = [], isFull = false } of CASES) {
-        it(`is given up before it takes down one worker after the other, where ${name}`, async () => {
+        it(`is given up before it crashes one worker after another, where ${name}`, async () => {
             const crashCell = new CrashCell({
                 workers: 6,
                 downMs,
@@ -67,7 +67,10 @@
                     await cell.submit(crashCell.leader, filler, makeSpec({ taskCount: 14 }));
                 }
             }
-            assert.ok(crashes.length <= MAX_STARTS, `${crashes.length} starts, each with a crash`);
+            assert.ok(
+                crashes.length <= MAX_STARTS,
+                `${crashes.length} starts, each of which crashed its worker`,
+            );
             const shown = await cell.show(crashCell.leader, CRASHING_JOB);
             assert.deepEqual(shown, { kind: "state", phase: "failed" });
             for (const job of INNOCENT_JOBS) {
--- a/src/test/leader/day-advice.ts
+++ b/src/test/leader/day-advice.ts
@@ -1,4 +1,4 @@
-/** The advice service of a random day and the nodes that ask it for a leader, with their faults. */
+/** The advice service of a random day and the nodes that call it for a leader, with their faults. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
 import { parseTaskName } from "../../process/jobs/job-spec.js";
@@ -7,16 +7,16 @@
 import type { PausableClock } from "../fakes/pausable-clock.js";
 import { hashToFraction } from "./day-work.js";
 
-/** How a node's questions fare. */
+/** What happens to a node's requests to the advice service. */
 export const AdviceFault = {
     none: "none",
-    /** They fail at once. */
+    /** They fail immediately. */
     failing: "failing",
-    /** They get no answer. */
+    /** They are never answered. */
     silent: "silent",
-    /** They are answered after the caller has given up. */
+    /** They are answered after the caller's timeout. */
     late: "late",
-    /** The service refuses them. */
+    /** The service refuses them as overloaded. */
     busy: "busy",
 } as const;
 export type AdviceFault = (typeof AdviceFault)[keyof typeof AdviceFault];
@@ -24,26 +24,26 @@
 /** What the service knows of a step. */
 export interface StepAdvice {
     readonly policy: AdvicePolicy;
+    /** Share of the workers on which the step may run. */
     readonly allowedShare: number;
 }
 
 interface NodeState {
     fault: AdviceFault;
-    /** When the service has answered what it was asked by this node. */
+    /** When the service will have answered all requests of this node. */
     freeAt: Millis;
 }
 
-const WAY_MS: Millis = 2;
-const LATE_MS: Millis = 5_000;
+const LATENCY_MS: Millis = 2;
+const LATE_ANSWER_MS: Millis = 5_000;
 
-/** The service; see the module comment. */
+/** A model of the advice service that answers one request at a time for each node. */
 export class DayAdvice {
     private readonly nodes = new Map<string, NodeState>();
 
     /**
-     * @param clock - Of the whole test.
-     * @param findStep - Finds what a step's policy says.
-     * @param isKnown - Whether the service knows a worker at the moment.
+     * @param findStep - Finds a step's advice policy and allowed share.
+     * @param isKnown - Returns whether the service currently knows a worker.
      */
     constructor(
         private readonly clock: Clock,
@@ -51,7 +51,7 @@
         private readonly isKnown: (workerId: string) => boolean,
     ) {}
 
-    /** Sets how a node's questions fare from now on. */
+    /** Sets the fault of a node's requests from now on. */
     setFault(nodeName: string, fault: AdviceFault): void {
         this.getNode(nodeName).fault = fault;
     }
@@ -61,7 +61,7 @@
         this.nodes.forEach(node => node.fault = AdviceFault.none);
     }
 
-    /** Builds a node's way for one leader, whose clock delivers the answers. */
+    /** Builds a node's caller for one leader; answers are delivered by the leader's clock. */
     buildCaller(nodeName: string, leaderClock: PausableClock): AdviceCaller {
         return {
             nodeName,
@@ -70,12 +70,12 @@
         };
     }
 
-    /** Tells whether a step may run on a worker, however often it is asked. */
+    /** Returns whether a step may run on a worker; always the same for the same pair. */
     isAllowed(step: string, workerId: string): boolean {
         return hashToFraction(`${step}@${workerId}`) < (this.findStep(step)?.allowedShare ?? 0);
     }
 
-    /** Tells whether a worker takes a permit now. */
+    /** Returns whether a worker accepts a permit now. */
     isPermitted(task: string, workerId: string, permit: string | undefined): boolean {
         const ref = parseTaskName(task);
         const [step, worker, decidedAt] = permit?.split("|") ?? [];
@@ -113,9 +113,9 @@
             const { fault } = this.getNode(nodeName);
             switch (fault) {
                 case "failing":
-                    return answerAfter(WAY_MS, () => ({ kind: "failed", message: "connection refused" }));
+                    return answerAfter(LATENCY_MS, () => ({ kind: "failed", message: "connection refused" }));
                 case "busy":
-                    return answerAfter(WAY_MS, () => ({ kind: "busy" }));
+                    return answerAfter(LATENCY_MS, () => ({ kind: "busy" }));
                 case "silent":
                     return;
                 case "late":
@@ -133,7 +133,7 @@
         const now = this.clock.now();
         const { decideMs = 0, perWorkerMs = 0 } = this.findStep(step)?.policy ?? {};
         node.freeAt = Math.max(now, node.freeAt) + decideMs + perWorkerMs * workers;
-        return node.freeAt - now + WAY_MS + (node.fault === AdviceFault.late ? LATE_MS : 0);
+        return node.freeAt - now + LATENCY_MS + (node.fault === AdviceFault.late ? LATE_ANSWER_MS : 0);
     }
 
     private buildPermits(
