--- a/src/test/leader/day-callers.ts
+++ b/src/test/leader/day-callers.ts
@@ -1,4 +1,4 @@
-/** The callers of a random day: jobs that are handed in, once or more, and cancelled, and what became of them. */
+/** The callers of a random day: they submit jobs, some repeatedly, cancel some, and check how they ended. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import { countFitting } from "../../process/dispatch/question-size.js";
@@ -6,53 +6,53 @@
 import { isStepReady, listSteps, TaskState } from "../../process/jobs/job.js";
 import type { Step } from "../../process/jobs/job.js";
 import type { CallerReply } from "../../process/leader/requests.js";
+import type { DayInvariantChecker } from "./day-invariant-checker.js";
 import type { DayLeaders } from "./day-leaders.js";
-import type { DayWitness } from "./day-witness.js";
 import { DAY_CAPACITY, DAY_QUEUES } from "./day-work.js";
 import type { DayQueue } from "./day-work.js";
 import { HOST, makeJobId } from "./leader-cell.js";
 import type { LeaderCell } from "./leader-cell.js";
 
-const ANSWER_MS: Millis = 2_000;
-/** Callers come back for jobs that are at most this many behind the newest. */
+const ANSWER_TIMEOUT_MS: Millis = 2_000;
+/** Number of newest jobs among which callers pick one to submit again or cancel. */
 const RECENT_JOBS = 20;
-/** Workers that must have crashed under a task of a job before it may be given up. */
+/** Crashes of workers under a job's tasks after which the job may fail. */
 const CRASHES_TO_FAIL = 2;
 
-/** A job as its caller knows it. */
+/** A job from its caller's point of view. */
 export interface DayJob {
     readonly number: number;
     readonly queue: DayQueue;
     readonly spec: JobSpec;
-    /** How often it was handed in. */
-    sent: number;
+    /** How often it was submitted. */
+    submitCount: number;
     readonly replies: CallerReply[];
-    /** Whether a caller has ever asked to cancel it. */
-    isCancelAsked: boolean;
+    /** Whether a caller has ever requested its cancellation. */
+    isCancelRequested: boolean;
 }
 
-/** What the callers need of the day. */
+/** Options of {@link DayCallers}. */
 export interface DayCallersOptions {
     readonly cell: LeaderCell;
     readonly random: Random;
     readonly leaders: DayLeaders;
-    readonly witness: DayWitness;
-    readonly mostJobs: number;
-    /** Whether a queue may be missing at the end; its jobs are not judged then. */
-    readonly maySkipQueues: boolean;
-    /** Lists the workers that a step may use in the end. */
+    readonly checker: DayInvariantChecker;
+    readonly maxJobs: number;
+    /** Whether queues may be missing at the end; jobs of a missing queue are not checked then. */
+    readonly allowsMissingQueues: boolean;
+    /** Lists the workers that the policy allows for a step at the end of the day. */
     readonly listAllowed: (step: string) => readonly string[];
 }
 
-/** The callers; see the module comment. */
+/** Submits and cancels random jobs and checks that accepted jobs end as they must. */
 export class DayCallers {
     constructor(private readonly options: DayCallersOptions, private readonly jobs: Map<string, DayJob>) {}
 
-    /** Hands in a job, or several at once. */
+    /** Submits a job, or several at once. */
     submitBurst(): void {
-        const { random, mostJobs } = this.options;
+        const { random, maxJobs } = this.options;
         const count = random.pickInt(4) === 0 ? 1 + random.pickInt(5) : 1;
-        for (let number = 0; number < count && this.jobs.size < mostJobs; number++) {
+        for (let number = 0; number < count && this.jobs.size < maxJobs; number++) {
             const job = this.makeJob();
             this.jobs.set(makeJobId(job.number), job);
             this.send(job);
@@ -62,26 +62,26 @@
         }
     }
 
-    /** Hands a job in that was handed in before. */
-    sendAgain(): void {
+    /** Submits a recent job again. */
+    submitAgain(): void {
         const job = this.pickRecent();
         if (job !== undefined) {
             this.send(job);
         }
     }
 
-    /** Cancels a job. */
+    /** Cancels a recent job. */
     cancel(): void {
         const job = this.pickRecent();
         if (job === undefined) {
             return;
         }
         const { leaders } = this.options;
-        job.isCancelAsked = true;
+        job.isCancelRequested = true;
         void leaders.request(leaders.get(), { kind: "cancel", host: HOST, path: getPath(job) });
     }
 
-    /** Says of each accepted job that has not ended as it must what is wrong with it. */
+    /** Describes the accepted jobs that have not ended as they must. */
     async listUnfinished(): Promise<readonly string[]> {
         const broken: string[] = [];
         for (const job of this.jobs.values()) {
@@ -93,23 +93,30 @@
         return broken;
     }
 
-    /** Lists the jobs that every answer refused and that ran all the same. */
+    /** Lists the jobs that ran although every submission was refused. */
     listRefusedStarts(): readonly string[] {
         return [...this.jobs.values()]
-            .filter(({ replies, sent }) =>
-                replies.length === sent && replies.every(reply => reply.kind === "refused")
+            .filter(({ replies, submitCount }) =>
+                replies.length === submitCount && replies.every(reply => reply.kind === "refused")
             )
-            .filter(({ number }) => this.options.witness.describeJob(makeJobId(number)).length > 0)
+            .filter(({ number }) => this.options.checker.describeJob(makeJobId(number)).length > 0)
             .map(({ number }) => `refused job ${number} ran`);
     }
 
     private makeJob(): DayJob {
         const { random } = this.options;
-        // Short work is a fifth, so that gangs and single tasks fill the workers.
+        // Short jobs are only a fifth, so that gangs and single tasks fill the workers.
         const queues = [...DAY_QUEUES, ...DAY_QUEUES.slice(1)];
         const queue = queues[random.pickInt(queues.length)] as DayQueue;
         const number = this.jobs.size + 1;
-        return { number, queue, spec: queue.makeSpec(random), sent: 0, replies: [], isCancelAsked: false };
+        return {
+            number,
+            queue,
+            spec: queue.makeSpec(random),
+            submitCount: 0,
+            replies: [],
+            isCancelRequested: false,
+        };
     }
 
     private pickRecent(): DayJob | undefined {
@@ -117,14 +124,14 @@
         return recent[this.options.random.pickInt(Math.max(1, recent.length))];
     }
 
-    /** Now and then an earlier leader is asked, as by a node that has not heard of the change. */
+    /** Occasionally submits to an earlier leader, as a node does that has not learned of the new one. */
     private send(job: DayJob): void {
         const { random, leaders } = this.options;
         const leader = random.pickInt(12) === 0 ?
             leaders.all[random.pickInt(leaders.all.length)] ?? leaders.get() :
             leaders.get();
         const request = { kind: "submit", host: HOST, path: getPath(job), spec: job.spec } as const;
-        job.sent += 1;
+        job.submitCount += 1;
         void leaders.request(leader, request).then(reply => job.replies.push(reply));
     }
 
@@ -134,34 +141,36 @@
             return undefined;
         }
         const request = { kind: "show", host: HOST, path: getPath(job) } as const;
-        const reply = await cell.clock.wait(leaders.request(leaders.get(), request), ANSWER_MS);
+        const reply = await cell.clock.wait(leaders.request(leaders.get(), request), ANSWER_TIMEOUT_MS);
         const phase = reply.kind === "state" ? reply.phase : reply.kind;
         switch (phase) {
             case "completed":
                 return undefined;
             case "cancelled":
-                return job.isCancelAsked ? undefined : "is cancelled, though nobody asked for it";
+                return job.isCancelRequested ? undefined : "is cancelled, though no caller cancelled it";
             case "failed":
-                return this.hasCauseToFail(job) ? undefined : "has failed without enough failures";
+                return this.hasCauseToFail(job) ?
+                    undefined :
+                    "has failed without enough failed runs, crashes or losses";
             case "noQueue":
-                return this.options.maySkipQueues ? undefined : "has no queue";
+                return this.options.allowsMissingQueues ? undefined : "has no queue";
             default:
                 return this.describeWaiting(job, phase);
         }
     }
 
     private hasCauseToFail({ number, queue }: DayJob): boolean {
-        const { witness } = this.options;
+        const { checker } = this.options;
         const jobId = makeJobId(number);
-        return witness.countFailures(jobId) >= queue.config.maxAttempts ||
-            witness.countCrashes(jobId) >= CRASHES_TO_FAIL || witness.hasLostOften(jobId);
+        return checker.countFailures(jobId) >= queue.config.maxAttempts ||
+            checker.countCrashes(jobId) >= CRASHES_TO_FAIL || checker.hasLostOften(jobId);
     }
 
-    /** Describes a job that goes on; nothing where no worker may ever run it. */
+    /** Describes a job that has not ended; undefined if no allowed workers can ever run its ready steps. */
     private describeWaiting(job: DayJob, phase: string): string | undefined {
-        const known = this.options.leaders.get().book.get(makeJobId(job.number));
+        const known = this.options.leaders.get().jobs.get(makeJobId(job.number));
         if (known === undefined) {
-            return `is ${phase}, and not in the book`;
+            return `is ${phase}, and not in the job registry`;
         }
         const steps = [...listSteps(known)]
             .filter(step => step.done < step.tasks.length && isStepReady(step));
@@ -175,7 +184,10 @@
         return `is ${phase}: ${states.join(", ")}`;
     }
 
-    /** Tells whether the workers that the policy allows would hold a step, or one of its tasks, with nothing else there. */
+    /**
+     * Returns whether the allowed workers, if empty, could hold the whole gang, or one task of a step without
+     * a gang.
+     */
     private canEverRun(step: Step): boolean {
         const { demand, maxPerWorker, isGang, taskCount } = step.spec;
         const places = Math.min(maxPerWorker ?? Infinity, countFitting(demand, DAY_CAPACITY));
--- a/src/test/leader/day-leaders.ts
+++ b/src/test/leader/day-leaders.ts
@@ -1,4 +1,4 @@
-/** The leaders of a random day, one after the other and side by side, and how they are lost. */
+/** The leaders of a random day, successive and concurrent, and their failures. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import { RunEnd } from "../../process/jobs/job-events.js";
@@ -7,27 +7,22 @@
 import type { DayAdvice } from "./day-advice.js";
 import type { LeaderCell, TestLeader } from "./leader-cell.js";
 
-/** Nodes that ask the advice service for the leader. */
+/** Names of the nodes that call the advice service for the leader. */
 export const DAY_NODES = ["n1", "n2", "n3", "n4"];
-const LONGEST_VACANCY_MS: Millis = 1_500;
-const LONGEST_PAUSE_MS: Millis = 9_000;
-/** Time after a stop within which what follows from it is decided, written and ordered. */
+const MAX_VACANCY_MS: Millis = 1_500;
+const MAX_PAUSE_MS: Millis = 9_000;
+/** Time after a stopped run within which its consequences are decided, written and ordered. */
 const AFTER_STOP_MS: Millis = 120;
 
-/** The leaders; see the module comment. */
+/** Starts, replaces and fails the leaders of a random day. */
 export class DayLeaders {
     readonly all: TestLeader[] = [];
     /** Leaders that have handed over. */
     private readonly closed = new Set<TestLeader>();
     private readonly epochs = new EpochHistory();
     private current: TestLeader | undefined;
-    private lossesAtStop = 0;
+    private plannedLosses = 0;
 
-    /**
-     * @param cell - Store, clock and workers.
-     * @param random - Of the day.
-     * @param advice - The advice service.
-     */
     constructor(
         private readonly cell: LeaderCell,
         private readonly random: Random,
@@ -42,63 +37,63 @@
         return this.current;
     }
 
-    /** Makes a node the leader. */
+    /** Starts a leader that becomes the current one. */
     async install(wasHandedOver = false): Promise<void> {
         this.current = await this.cell.startLeader(wasHandedOver, this.epochs);
         this.all.push(this.current);
         DAY_NODES.forEach(node => this.addCaller(node));
     }
 
-    /** Adds a node that asks for the newest leader, or another link to it. */
+    /** Connects a node that calls the advice service to the newest leader, or adds another link of it. */
     addCaller(node: string): void {
         const { leader, clock } = this.get();
         clock.post(() => leader.addCaller(this.advice.buildCaller(node, clock)));
     }
 
-    /** Removes a node that asks for the newest leader. */
+    /** Disconnects a node from the newest leader. */
     removeCaller(node: string): void {
         const { leader, clock } = this.get();
         clock.post(() => leader.advice.removeCaller(node));
     }
 
-    /** Has another node follow a leader that has ended. */
+    /** Starts another leader if the current one has ended. */
     async ensure(): Promise<void> {
         if (this.isOver(this.get()) || this.get().clock.isKilled()) {
-            await this.cell.clock.step(this.random.pickInt(LONGEST_VACANCY_MS));
+            await this.cell.clock.step(this.random.pickInt(MAX_VACANCY_MS));
             await this.install();
         }
     }
 
-    /** Has another node lead: the leader dies, stands still, hands over, or goes on beside it. */
+    /** Starts another leader; the current one is killed, is paused, hands over, or keeps running. */
     async replace(): Promise<void> {
         const { clock } = this.get();
         switch (this.random.pickInt(5)) {
             case 0:
                 this.pause(clock);
-                await this.cell.clock.step(this.random.pickInt(LONGEST_VACANCY_MS));
+                await this.cell.clock.step(this.random.pickInt(MAX_VACANCY_MS));
                 break;
             case 1:
-                return this.replaceInPeace();
+                return this.replaceByHandover();
             case 2:
                 break;
             default:
                 clock.kill();
-                await this.cell.clock.step(this.random.pickInt(LONGEST_VACANCY_MS));
+                await this.cell.clock.step(this.random.pickInt(MAX_VACANCY_MS));
         }
         await this.install();
     }
 
-    /** Has the leader lost right after the next stop of a run. */
+    /** Plans that the leader is lost right after the next run that is stopped. */
     planLossAtStop(): void {
-        this.lossesAtStop += 1;
+        this.plannedLosses += 1;
     }
 
-    /** Takes in that a run was stopped. */
+    /** Handles a stopped run: carries out a planned loss of the leader. */
     handleStopped(): void {
-        if (this.lossesAtStop === 0) {
+        if (this.plannedLosses === 0) {
             return;
         }
-        this.lossesAtStop -= 1;
+        this.plannedLosses -= 1;
         const { clock } = this.get();
         const isKill = this.random.pickInt(2) === 0;
         this.cell.clock.schedule(this.random.pickInt(AFTER_STOP_MS), () => {
@@ -108,14 +103,14 @@
 
     /** Ends all faults that leaders have. */
     heal(): void {
-        this.lossesAtStop = 0;
+        this.plannedLosses = 0;
         this.get().clock.resume();
         for (const { storePath } of this.all) {
             Object.assign(storePath.faults, { slowMs: 0, dropAnswerShare: 0 });
         }
     }
 
-    /** Asks a leader, which a paused one hears later and a dead one never. */
+    /** Sends a request to a leader; a paused leader receives it when it resumes, a killed one never. */
     request(leader: TestLeader, request: CallerRequest): Promise<CallerReply> {
         return new Promise(resolve => {
             leader.clock.post(() => {
@@ -129,8 +124,11 @@
         });
     }
 
-    /** Tells whether every leader that heard of a run's end held the run for the task's current one. */
-    hasTakenEnd(task: string, run: number): boolean {
+    /**
+     * Returns whether all leaders that learned of a run's end, at least one, took the run for the task's
+     * current one.
+     */
+    hasAcceptedEnd(task: string, run: number): boolean {
         const ends = this.all.flatMap(({ log }) =>
             log.lines.filter(({ event, fields }) =>
                 event === "runEnded" && fields.task === task && fields.run === run
@@ -140,7 +138,9 @@
             ends.every(({ fields }) => fields.isCurrent === true && fields.end !== RunEnd.lost);
     }
 
-    /** Shows the worker list to all who lead, or think so; a paused one sees it when it wakes. */
+    /**
+     * Sends the worker list to all that lead or still believe so; a paused leader receives it on resuming.
+     */
     publishWorkers(): void {
         for (const leader of this.all) {
             leader.clock.post(() => {
@@ -151,12 +151,12 @@
         }
     }
 
-    /** Tells all leaders that another configuration is in force. */
+    /** Notifies all leaders that another configuration is in force. */
     publishConfig(): void {
         this.all.forEach(({ leader, clock }) => clock.post(() => leader.handleConfig()));
     }
 
-    /** Counts lines of all leaders' logs. */
+    /** Counts the log lines of an event over all leaders. */
     countLines(event: string): number {
         return this.all.flatMap(({ log }) => log.lines).filter(line => line.event === event).length;
     }
@@ -167,10 +167,10 @@
 
     private pause(clock: TestLeader["clock"]): void {
         clock.pause();
-        this.cell.clock.schedule(500 + this.random.pickInt(LONGEST_PAUSE_MS), () => clock.resume());
+        this.cell.clock.schedule(500 + this.random.pickInt(MAX_PAUSE_MS), () => clock.resume());
     }
 
-    private async replaceInPeace(): Promise<void> {
+    private async replaceByHandover(): Promise<void> {
         const old = this.get();
         let isFlushed = false;
         void old.leader.flush().then(() => isFlushed = true);
--- a/src/test/leader/day-work.ts
+++ b/src/test/leader/day-work.ts
@@ -1,4 +1,4 @@
-/** The queues of a random day, and the jobs that callers hand in there. */
+/** The queues of a random day and the jobs that callers submit to them. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import type { Resources } from "../../common/resources.js";
@@ -11,7 +11,7 @@
 export const DAY_CAPACITY: Resources = { cpuMillis: 16_000, memoryMib: 32_768, accelerators: 0 };
 const VALID_MS: Millis = 2_500;
 
-/** One queue with the share of workers that its policy allows. */
+/** A queue and the share of workers that its policy allows for a step. */
 export interface DayQueue {
     readonly config: QueueConfig;
     readonly allowedShare: number;
@@ -32,7 +32,7 @@
     return { cpuMillis, memoryMib, accelerators: 0 };
 }
 
-/** Short single tasks, some gangs of two. */
+/** Makes a job of one or two short single tasks, or a gang of two. */
 function makeShortWork(random: Random): JobSpec {
     const isGang = random.pickInt(6) === 0;
     return makeSpec({
@@ -43,7 +43,7 @@
     });
 }
 
-/** Gangs of large tasks, some with single tasks after them. */
+/** Makes a gang of large tasks, some with a step of single tasks after it. */
 function makeGangWork(random: Random): JobSpec {
     const gang: Partial<StepSpec> = {
         taskCount: 2 + random.pickInt(4),
@@ -61,7 +61,7 @@
     return random.pickInt(3) === 0 ? makeSpec(gang, after) : makeSpec(gang);
 }
 
-/** Single tasks in one or two steps. */
+/** Makes a job of single tasks in one or two steps. */
 function makeSingleWork(random: Random): JobSpec {
     const build = (after: readonly number[]): Partial<StepSpec> => ({
         taskCount: 1 + random.pickInt(6),
@@ -74,14 +74,14 @@
     return random.pickInt(2) === 0 ? makeSpec(build([]), build([0])) : makeSpec(build([]));
 }
 
-/** The queues, the most urgent first. */
+/** The queues, most urgent first. */
 export const DAY_QUEUES: readonly DayQueue[] = [
     { config: makeQueue("short", 0, 12, 0.17), allowedShare: 0.7, makeSpec: makeShortWork },
     { config: makeQueue("gangs", 1, 410, 5.9), allowedShare: 0.35, makeSpec: makeGangWork },
     { config: makeQueue("singles", 2, 82, 1.2), allowedShare: 0.45, makeSpec: makeSingleWork },
 ];
 
-/** Returns a number from 0 to 1 (exclusive) that depends on nothing but a text. */
+/** Hashes a text to a number from 0 to 1 (exclusive). */
 export function hashToFraction(text: string): number {
     let hash = 2_166_136_261;
     for (let index = 0; index < text.length; index++) {
@@ -97,15 +97,12 @@
     return ref === undefined ? undefined : spec?.steps[ref.step];
 }
 
-/** Share of runs that fail by their own fault. */
+/** Share of runs that end as failed. */
 const FAILING_SHARE = 0.03;
 
 /**
- * Says what a run does.
- * @param spec - Its step.
- * @param task - Its task.
- * @param run - Its number.
- * @param slowness - How many times longer than usual its worker takes.
+ * Derives the behavior of a run from its step, task and number.
+ * @param slowness - Factor by which its worker is slower than usual.
  */
 export function describeRun(spec: StepSpec, task: string, run: number, slowness: number): TaskBehavior {
     const runMs = spec.estimateMs * (0.6 + hashToFraction(task)) * slowness;
--- a/src/test/leader/day-workers.ts
+++ b/src/test/leader/day-workers.ts
@@ -1,4 +1,4 @@
-/** The workers of a random day: their lives, their places in the worker list, and their faults. */
+/** The workers of a random day: their incarnations, their entries in the worker list, and their faults. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import type { Resources } from "../../common/resources.js";
@@ -9,43 +9,41 @@
 
 const WORKERS = 12;
 const DRAINING_MS: Millis = 3_000;
-/** Orders that were sent before a worker's room shrank may still be carried out for so long. */
+/** Time for which orders sent before a worker's capacity shrank may still be carried out. */
 const SHRINK_GRACE_MS: Millis = 1_200;
 
-/** One address with its lives. */
+/** A worker address and the state of its current incarnation. */
 export interface DayWorker {
     readonly address: string;
     workerId: string;
-    /** How many times longer than usual runs take. */
+    /** Factor by which runs take longer than usual. */
     slowness: number;
     isHealthy: boolean;
     isAlive: boolean;
     isDraining: boolean;
     isListed: boolean;
-    /** What it says of itself. */
+    /** Capacity that its registration states. */
     capacity: Resources;
-    /** Capacity that starts may still reckon with, for a while after it has shrunk. */
+    /** Capacity that starts may still use; follows a shrunk capacity after a grace period. */
     allowedCapacity: Resources;
 }
 
-/** What a life is told of. */
-export type LifeHooks = Partial<TaskWorkerModelOptions>;
+/** Callbacks of one incarnation's model. */
+export type WorkerHooks = Partial<TaskWorkerModelOptions>;
 
-/** The workers; see the module comment. */
+/** Starts, kills and disturbs the workers of a random day. */
 export class DayWorkers {
     readonly all: readonly DayWorker[];
-    private lives = 0;
+    private incarnations = 0;
 
     /**
-     * @param cell - Where the workers live.
-     * @param random - Of the day.
-     * @param buildHooks - Builds what a life does with tasks and whom it tells.
-     * @param leaders - Who read the worker list.
+     * @param buildHooks - Builds the callbacks of one incarnation.
+     * @param leaders - Leaders that receive the worker list.
      */
     constructor(
         private readonly cell: LeaderCell,
         private readonly random: Random,
-        private readonly buildHooks: (worker: DayWorker, workerId: string) => LifeHooks,
+        private readonly buildHooks: (worker: DayWorker, workerId: string) => WorkerHooks,
         private readonly leaders: DayLeaders,
     ) {
         this.all = Array.from({ length: WORKERS }, (...[, index]): DayWorker => ({
@@ -59,7 +57,7 @@
             capacity: DAY_CAPACITY,
             allowedCapacity: DAY_CAPACITY,
         }));
-        this.all.forEach(worker => this.startLife(worker));
+        this.all.forEach(worker => this.startIncarnation(worker));
     }
 
     /** Picks a worker at random. */
@@ -67,12 +65,12 @@
         return this.all[this.random.pickInt(this.all.length)] as DayWorker;
     }
 
-    /** Tells whether a life is in the worker list and stays. */
+    /** Returns whether an incarnation is in the worker list and not draining. */
     isListed(workerId: string): boolean {
         return this.all.some(worker => worker.workerId === workerId && worker.isListed && !worker.isDraining);
     }
 
-    /** Takes workers, or half of all, from the list for a while; they go on. */
+    /** Removes one worker, or about half of all, from the list for some time; they keep running. */
     dropFromList(): void {
         const chosen = this.random.pickInt(4) === 0 ?
             this.all.filter(() => this.random.pickInt(2) === 0) :
@@ -85,7 +83,7 @@
         });
     }
 
-    /** Has a worker say that it has less room, for a while. */
+    /** Reduces the capacity of a worker for some time. */
     cutCapacity(): void {
         const worker = this.pick();
         const cpuMillis = Math.round(DAY_CAPACITY.cpuMillis * this.random.pickInt(4) / 4);
@@ -106,26 +104,26 @@
         worker.allowedCapacity = DAY_CAPACITY;
     }
 
-    /** Ends a life; another begins at once or later. */
+    /** Ends the incarnation of a worker; another starts at once or later. */
     restart(): void {
         const worker = this.pick();
         if (!worker.isAlive) {
             return;
         }
         if (this.random.pickInt(2) === 0) {
-            this.startLife(worker);
+            this.startIncarnation(worker);
             this.publish();
             return;
         }
-        this.killLife(worker, 500 + this.random.pickInt(6_000), this.random.pickInt(2) === 0);
+        this.killIncarnation(worker, 500 + this.random.pickInt(6_000), this.random.pickInt(2) === 0);
     }
 
     /**
-     * Ends a life without a word.
-     * @param downMs - Time until the next one begins.
-     * @param isListed - Whether the life that is over stands in the list until then.
+     * Kills an incarnation without notice.
+     * @param downMs - Time until the next one starts.
+     * @param isListed - Whether the killed incarnation stays in the worker list until then.
      */
-    killLife(worker: DayWorker, downMs: Millis, isListed: boolean): void {
+    killIncarnation(worker: DayWorker, downMs: Millis, isListed: boolean): void {
         worker.isAlive = false;
         this.cell.killWorker(worker.address);
         worker.isListed = isListed;
@@ -133,12 +131,12 @@
         this.cell.clock.schedule(downMs, () => {
             worker.isAlive = true;
             worker.isListed = true;
-            this.startLife(worker);
+            this.startIncarnation(worker);
             this.publish();
         });
     }
 
-    /** Has a worker drain, refuse orders for a while, or run slowly. */
+    /** Makes a worker drain and restart, refuse orders for some time, or run slowly. */
     break(): void {
         const worker = this.pick();
         switch (this.random.pickInt(4)) {
@@ -146,7 +144,7 @@
                 worker.isDraining = true;
                 this.publish();
                 this.cell.clock.schedule(DRAINING_MS + this.random.pickInt(4_000), () => {
-                    this.startLife(worker);
+                    this.startIncarnation(worker);
                     this.publish();
                 });
                 return;
@@ -159,7 +157,7 @@
         }
     }
 
-    /** Ends all faults that workers have. */
+    /** Ends all faults of the workers and of the paths to them. */
     heal(): void {
         for (const worker of this.all) {
             Object.assign(worker, { isListed: true, isHealthy: true, slowness: 1 });
@@ -172,9 +170,9 @@
         this.publish();
     }
 
-    private startLife(worker: DayWorker): void {
-        this.lives += 1;
-        const workerId = `w${this.lives}`;
+    private startIncarnation(worker: DayWorker): void {
+        this.incarnations += 1;
+        const workerId = `w${this.incarnations}`;
         this.cell.removeFromList(worker.workerId);
         Object.assign(worker, { workerId, isDraining: false, isHealthy: true, isAlive: true });
         this.cell.addWorker(workerId, worker.address, {
@@ -188,7 +186,7 @@
         });
     }
 
-    /** Shows all leaders the list. */
+    /** Updates the worker list and sends it to all leaders. */
     private publish(): void {
         for (const { workerId, address, isListed, isDraining, capacity } of this.all) {
             if (isListed) {
--- a/src/test/leader/dropped-queues_test.ts
+++ b/src/test/leader/dropped-queues_test.ts
@@ -1,4 +1,4 @@
-/** Jobs whose queue the operator removes while they have work to do. */
+/** Jobs whose queue the operator removes before they have ended. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { makeRecordKey, RECORD_PREFIX } from "../../process/journal/keys.js";
@@ -8,17 +8,17 @@
 import { CORE, LeaderCell, makeJobId, makeSpec, QUEUE } from "./leader-cell.js";
 import type { TestLeader } from "./leader-cell.js";
 
-/** Twice what the only worker has room for, so that half of the tasks wait when the queue is dropped. */
+/** Twice the capacity of the only worker, so that half of the tasks wait when the queue is dropped. */
 const TASKS = 8;
 const LONG_MS = 30_000;
 
-/** Puts a newer configuration in force. */
+/** Puts a newer configuration with the given queues in force. */
 function setQueues(cell: LeaderCell, { leader }: TestLeader, queues: readonly QueueConfig[]): void {
     cell.config = { ...cell.config, version: cell.config.version + 1, queues };
     leader.handleConfig();
 }
 
-/** Starts the next leader on a process that has only seen the configuration in force. */
+/** Starts the next leader on a process that has only received the current configuration. */
 async function replaceLeader(cell: LeaderCell, leader: TestLeader): Promise<TestLeader> {
     leader.clock.kill();
     const next = await cell.startLeader();
@@ -40,8 +40,8 @@
         }
 
         it("is finished", async () => {
-            // A job is accepted, and its queue leaves the configuration while tasks of it wait. Its steps were left out of
-            // the order of waiting work without a word: the job neither ran nor ended, with all workers free.
+            // A job's queue is removed from the configuration while its tasks wait. Its steps were silently
+            // left out of scheduling: the job neither ran nor ended, with all workers free.
             const cell = new LeaderCell(1);
             const first = await cell.startLeader();
             assert.deepEqual(await cell.submit(first, 1, makeSpec({ taskCount: TASKS })), {
@@ -57,8 +57,8 @@
         });
 
         it("fails after the attempts that its queue allowed last", async () => {
-            // The queue's settings change after the job was accepted, and then the queue is dropped. With no limit known,
-            // a task that fails each time was never given up.
+            // The queue's settings change after the job was accepted, and then the queue is dropped. Without
+            // a known limit of attempts, a task that always fails was never given up.
             const cell = new LeaderCell(1);
             cell.getBehavior = () => ({ demand: CORE, runMs: 500, end: "failed" });
             const first = await cell.startLeader();
@@ -72,7 +72,7 @@
             assert.deepEqual(await cell.show(leader, 1), { kind: "state", phase: "failed" });
         });
 
-        it("follows its queue's settings once a later configuration has it again", async () => {
+        it("uses its queue's settings once a later configuration contains the queue again", async () => {
             const cell = new LeaderCell(1);
             cell.getBehavior = () => ({ demand: CORE, runMs: 500, end: "failed" });
             const first = await cell.startLeader();
@@ -83,7 +83,7 @@
             assert.equal(cell.countStarts(1), 6);
         });
 
-        it("takes no new requests", async () => {
+        it("accepts no new requests", async () => {
             const cell = new LeaderCell(1);
             const first = await cell.startLeader();
             await cell.submit(first, 1, makeSpec({}));
@@ -94,10 +94,10 @@
     });
 }
 
-describe("a leader that has seen an older configuration than the one before it", () => {
-    it("keeps to the newer settings", async () => {
-        // The leader that knew the newest configuration is lost, and a node that lags takes over. Attempts that the newer
-        // settings allow must not be cut by the older ones.
+describe("a leader with an older configuration than its predecessor", () => {
+    it("uses the newer settings", async () => {
+        // The leader that knew the newest configuration is lost, and a node that lags behind takes over. The
+        // older settings must not reduce the attempts that the newer ones allow.
         const cell = new LeaderCell(1);
         cell.getBehavior = () => ({ demand: CORE, runMs: 500, end: "failed" });
         const first = await cell.startLeader();
@@ -113,7 +113,7 @@
 });
 
 describe("the settings of a queue that is dropped", () => {
-    it("are forgotten once nothing of it is left to run", async () => {
+    it("are deleted once none of its jobs is open", async () => {
         const cell = new LeaderCell(1);
         const first = await cell.startLeader();
         await cell.submit(first, 1, makeSpec({}));
@@ -126,7 +126,7 @@
         assert.deepEqual(listCodes(loaded.log), []);
     });
 
-    it("are missing in journals of earlier versions: a line says that the jobs wait for their queue", async () => {
+    it("are missing in journals of earlier versions: a log line reports that the jobs wait for their queue", async () => {
         const cell = new LeaderCell(1);
         const jobId = makeJobId(1);
         const accepted = { type: "accepted", jobId, queue: QUEUE.name, spec: makeSpec({}), at: 0 } as const;
--- a/src/test/leader/held-tasks_test.ts
+++ b/src/test/leader/held-tasks_test.ts
@@ -1,4 +1,4 @@
-/** Tasks that are assigned to a worker which the leader loses, gets back or never had: each is run to its end. */
+/** Tasks assigned to a worker that the leader loses, regains or never reached: each must run to its end. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { CORE, LeaderCell, makeSpec } from "./leader-cell.js";
@@ -7,10 +7,10 @@
 const ADDRESS = "10.0.0.1:80";
 const TASKS = 6;
 const RUN_MS = 2_000;
-/** Longer than a worker without a registration is kept. */
+/** Longer than a worker is kept without a registration. */
 const LONG_AWAY_MS = 9_000;
 
-/** Shows the leader a list without the first worker, and later one with it. */
+/** Removes the first worker from the leader's worker list and restores it after `ms`. */
 async function removeFor(cell: LeaderCell, leader: TestLeader, ms: number): Promise<TestLeader> {
     cell.removeFromList("w1");
     cell.refreshWorkers(leader);
@@ -22,7 +22,7 @@
 
 interface Case {
     readonly name: string;
-    /** Happens while some of the job's tasks run and others wait; tells who leads afterwards. */
+    /** Injects the fault while some of the job's tasks run and others wait; returns the leader afterwards. */
     readonly disturb: (cell: LeaderCell, leader: TestLeader) => Promise<TestLeader>;
 }
 
@@ -32,7 +32,7 @@
         disturb: (cell, leader) => removeFor(cell, leader, 100),
     },
     {
-        name: "its worker is removed from the list and added again after long",
+        name: "its worker is removed from the list and added again after a long time",
         disturb: (cell, leader) => removeFor(cell, leader, LONG_AWAY_MS),
     },
     {
@@ -55,7 +55,7 @@
         },
     },
     {
-        name: "its worker begins another life under the same name",
+        name: "its worker restarts under the same name",
         disturb: async (cell, leader) => {
             cell.addWorker("w1", ADDRESS);
             cell.refreshWorkers(leader);
@@ -92,8 +92,9 @@
 describe("an assigned task", () => {
     for (const { name, disturb } of CASES) {
         it(`is run to its end where ${name}`, async () => {
-            // The state holds a task as assigned, and neither a session nor the runs of earlier leaders have it: no report
-            // and no lease that runs out would ever end it, and its job would stand still with workers free.
+            // If a task is recorded as assigned but neither a worker session nor the inherited runs contain
+            // it, no report and no expired lease would ever end it, and its job would stall with workers
+            // free.
             const cell = createCell();
             const first = await cell.startLeader();
             await cell.clock.step(300);
@@ -107,9 +108,10 @@
         });
     }
 
-    it("is run to its end where its job's first acceptance was withdrawn", async () => {
-        // The store is away, so an acceptance is withdrawn together with what was planned for it, and the job is handed in
-        // again under the same name. What was reserved the first time must not be taken for its runs, now or read back.
+    it("is run to its end after its job's first acceptance was withdrawn", async () => {
+        // The store is unreachable, so an acceptance is withdrawn together with its planned runs, and the job
+        // is submitted again under the same id. The first reservations must not be taken for its runs,
+        // neither now nor when the journal is loaded.
         const cell = createCell();
         const first = await cell.startLeader();
         await cell.clock.step(300);
--- a/src/test/leader/inherited-leases_test.ts
+++ b/src/test/leader/inherited-leases_test.ts
@@ -1,4 +1,4 @@
-/** Until when a new leader counts with leases of earlier ones. */
+/** Until when a new leader must assume that leases granted by earlier leaders are in force. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { computeLeaseBound } from "../../process/dispatch/worker-session.js";
@@ -13,26 +13,26 @@
 describe("InheritedLeases", () => {
     const cases: {
         name: string;
-        /** Epochs and when this process heard of them. */
+        /** Epochs and the times at which this process learned of them. */
         seen: readonly (readonly [number, number])[];
         adoptedBy: number | undefined;
         wasHandedOver?: boolean;
         end: number;
     }[] = [
         {
-            name: "counts from the take-over for a worker of the leader before",
+            name: "counts from the takeover for a worker of the previous leader",
             seen: [[4, 10_000], [5, BEGIN]],
             adoptedBy: 4,
             end: BEGIN + UNCONFIRMED_MS + LEASE_BOUND,
         },
         {
-            name: "counts from the change before for a worker that the leader before never reached",
+            name: "counts from the previous takeover for a worker that the previous leader never reached",
             seen: [[4, 50_000], [5, BEGIN]],
             adoptedBy: 3,
             end: 50_000 + UNCONFIRMED_MS + LEASE_BOUND,
         },
         {
-            name: "counts from the first later epoch that it heard of",
+            name: "counts from the first later epoch that it learned of",
             seen: [[2, 40_000], [5, BEGIN]],
             adoptedBy: 2,
             end: BEGIN + UNCONFIRMED_MS + LEASE_BOUND,
@@ -44,27 +44,27 @@
             end: BEGIN + UNCONFIRMED_MS + LEASE_BOUND,
         },
         {
-            name: "takes a worker of which nothing is known for one of the leader before",
+            name: "treats a worker of which nothing is known as one of the previous leader",
             seen: [[4, 10_000], [5, BEGIN]],
             adoptedBy: undefined,
             end: BEGIN + UNCONFIRMED_MS + LEASE_BOUND,
         },
         {
-            name: "counts only the lease after a leadership that was given up",
+            name: "counts only the lease after the previous leader stepped down",
             seen: [[4, 10_000], [5, BEGIN]],
             adoptedBy: 4,
             wasHandedOver: true,
             end: BEGIN + LEASE_BOUND,
         },
         {
-            name: "counts all after a hand-over where the last leader of the worker is not known",
+            name: "counts the full time after a handover if the last leader of the worker is not known",
             seen: [[4, 10_000], [5, BEGIN]],
             adoptedBy: undefined,
             wasHandedOver: true,
             end: BEGIN + UNCONFIRMED_MS + LEASE_BOUND,
         },
         {
-            name: "counts all for an earlier leader that did not give up",
+            name: "counts the full time for an earlier leader that did not step down",
             seen: [[4, 55_000], [5, BEGIN]],
             adoptedBy: 3,
             wasHandedOver: true,
--- a/src/test/leader/late-leader_test.ts
+++ b/src/test/leader/late-leader_test.ts
@@ -1,4 +1,6 @@
-/** A leader whose processor is full: what it takes, and what it makes of workers that it has not heard. */
+/**
+ * A leader with an overloaded processor: which jobs it admits, and how it treats workers that seem silent.
+ */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -25,14 +27,18 @@
     interface ShareCase {
         readonly name: string;
         readonly latenessMs: Millis;
-        /** Refused of each priority, from the most urgent on. */
+        /** Refused share of each priority, most urgent first. */
         readonly shares: readonly number[];
     }
     const cases: readonly ShareCase[] = [
-        { name: "takes all while it is on time", latenessMs: 20, shares: [0, 0, 0] },
+        { name: "admits all while the leader is on time", latenessMs: 20, shares: [0, 0, 0] },
         { name: "refuses the least urgent first", latenessMs: 75, shares: [0, 0, 0.5] },
-        { name: "refuses the next once it takes none of those", latenessMs: 125, shares: [0, 0.5, 1] },
-        { name: "takes nothing more when it is far too late", latenessMs: 250, shares: [1, 1, 1] },
+        {
+            name: "refuses the next priority once it admits none of the least urgent",
+            latenessMs: 125,
+            shares: [0, 0.5, 1],
+        },
+        { name: "admits nothing when the leader is far too late", latenessMs: 250, shares: [1, 1, 1] },
     ];
     for (const { name, latenessMs, shares } of cases) {
         it(name, () => {
@@ -43,8 +49,8 @@
         });
     }
 
-    // Guards against refused callers that all return within one moment.
-    it("spreads the times to come back", () => {
+    // Guards against refused callers that all retry at the same time.
+    it("spreads the retry times", () => {
         const times = Array.from({ length: 20 }, () => {
             const input = { latenessMs: 500, priority: 0, priorities, draw: random.pickFraction() };
             const admission = decideAdmission(input);
@@ -56,8 +62,8 @@
 });
 
 describe("a leader that is late", () => {
-    // Guards against a refusal that contradicts an acceptance.
-    it("refuses new jobs at once, with a true answer, and confirms those that it has", async () => {
+    // Guards against refusing a job that was already accepted.
+    it("refuses new jobs at once, does not keep them, and confirms accepted jobs", async () => {
         const cell = new LeaderCell(4);
         const leader = await cell.startLeader();
         await cell.clock.step(100);
@@ -74,9 +80,9 @@
         assert.equal(cell.starts.length, 1);
     });
 
-    // Guards against a task that is started again although a report that was not read yet says that it is done.
+    // Guards against starting a task again although an unread report states that it is done.
     for (const { isLate, starts } of [{ isLate: true, starts: 1 }, { isLate: false, starts: 2 }]) {
-        it(`${isLate ? "waits for" : "counts on"} the leases of silent workers`, async () => {
+        it(`${isLate ? "extends its wait for" : "relies on"} the leases of silent workers`, async () => {
             const cell = new LeaderCell(2);
             const leader = await cell.startLeader();
             await cell.clock.step(100);
@@ -95,8 +101,9 @@
         });
     }
 
-    // Guards against work that is done twice: its worker was silent until its lease had run out, and then says that it is done.
-    it("takes a run for done that it had called lost, unless the task was started again", async () => {
+    // Guards against work that is done twice: a worker is silent until its lease has expired, then reports
+    // the run as done.
+    it("accepts a lost run as done if the task was not started again", async () => {
         const cell = new LeaderCell(1);
         const leader = await cell.startLeader();
         await cell.clock.step(100);
--- a/src/test/leader/leader-cell.ts
+++ b/src/test/leader/leader-cell.ts
@@ -1,4 +1,4 @@
-/** Leaders, one after the other or side by side, over one store and a few workers, with everything observed. */
+/** A test fixture: successive or concurrent leaders over one store and model workers, with runs observed. */
 import assert from "node:assert/strict";
 import type { Millis } from "../../common/clock.js";
 import { createRandom } from "../../common/random.js";
@@ -37,7 +37,7 @@
 const LATENCY_MS: Millis = 1;
 const CALL_MS: Millis = 500;
 
-/** Queue that the cell's jobs go to. */
+/** Queue to which the cell's jobs are submitted. */
 export const QUEUE: QueueConfig = {
     name: "batch",
     host: HOST,
@@ -50,7 +50,7 @@
     advice: undefined,
 };
 
-/** Builds a step; only what matters to a test is given. */
+/** Builds a step from defaults and the given changes. */
 export function makeStep(change: Partial<StepSpec> = {}): StepSpec {
     return {
         taskCount: 1,
@@ -69,12 +69,12 @@
     };
 }
 
-/** Builds a job of steps. */
+/** Builds a job whose steps are defaults with the given changes. */
 export function makeSpec(...steps: readonly Partial<StepSpec>[]): JobSpec {
     return { payload: "work", steps: steps.map(makeStep), repeat: undefined };
 }
 
-/** Builds a worker's registration; only what matters to a test is given. */
+/** Builds a worker's registration from defaults and the given changes. */
 export function makeWorkerRecord(workerId: string, change: Partial<WorkerRecord> = {}): WorkerRecord {
     return {
         workerId,
@@ -89,7 +89,7 @@
     };
 }
 
-/** Builds a run that a worker has; only what matters to a test is given. */
+/** Builds a worker's run record from defaults and the given changes. */
 export function makeRunRecord(task: string, change: Partial<RunRecord> = {}): RunRecord {
     const usual = { run: 1, step: "x", demand: CORE, settledAfter: 0, wasSeen: true, orderedAt: 0 };
     return buildRunRecord({ ...usual, task, phase: RunPhase.running, ...change });
@@ -100,41 +100,41 @@
     return number.toString(16).padStart(16, "0");
 }
 
-/** A leader under test with its ways to the store and to workers. */
+/** A leader under test and its paths to the store and the workers. */
 export interface TestLeader {
     readonly leader: Leader;
     readonly epoch: number;
-    readonly book: JobRegistry;
+    readonly jobs: JobRegistry;
     readonly clock: PausableClock;
     readonly storePath: CallPath;
     readonly workers: FakeTaskWorkers;
     readonly log: FakeLog;
-    /** Why it was told that another leads; empty while it was not. */
+    /** Reasons with which it was notified that it no longer leads; empty until then. */
     readonly deposed: string[];
 }
 
-/** A run that a worker began. */
-export interface SeenStart {
+/** The start of a run on a worker. */
+export interface RunStart {
     readonly task: string;
     readonly run: number;
     readonly workerId: string;
     readonly at: Millis;
 }
 
-/** The cell; see the module comment. */
+/** Starts leaders and workers on a fake clock and records what runs where. */
 export class LeaderCell {
     readonly clock = new FakeClock();
     readonly store = new StoreModel(this.clock);
-    readonly starts: SeenStart[] = [];
-    /** What no promise allows: two runs of a task at once, a worker over its capacity. */
+    readonly starts: RunStart[] = [];
+    /** Violated guarantees: two concurrent runs of a task, or a worker over its capacity. */
     readonly faults: string[] = [];
     private readonly running = new Map<string, string>();
     private readonly models = new Map<string, TaskWorkerModel>();
     readonly records = new Map<string, WorkerRecord>();
     private readonly random = createRandom(7);
-    /** Of the leaders; their draws must not shift those of faults. */
+    /** Random numbers of the leaders, separate so that their draws do not shift those of the faults. */
     private readonly leaderRandom = createRandom(11);
-    /** By how much the leaders' timers are late. */
+    /** Lateness that the leaders measure for their timers. */
     latenessMs: Millis = 0;
     config: ClusterConfig = {
         version: 1,
@@ -142,15 +142,15 @@
         pools: [{ name: "pool", checksAdmission: false, maxConnections: 64 }],
         maxBodyBytes: 262_144,
     };
-    /** Told of each run that begins. */
-    handleStarted: (start: SeenStart) => void = () => undefined;
+    /** Called for each run that starts. */
+    handleStarted: (start: RunStart) => void = () => undefined;
     getBehavior: (task: string, run: number) => TaskBehavior = () => ({
         demand: CORE,
         runMs: 1_000,
         end: "done",
     });
 
-    /** @param workerCount - Workers `w1` to `wN`, each at an address of its own. */
+    /** @param workerCount - Number of workers, named `w1` to `wN`, each at its own address. */
     constructor(workerCount: number) {
         for (let number = 1; number <= workerCount; number++) {
             this.addWorker(`w${number}`, `10.0.0.${number}:80`);
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Adds a worker, or another life at the address of one.
-     * @param change - What differs from the cell's usual workers.
+     * Adds a worker, or a new incarnation at the address of an existing one, which is killed.
+     * @param change - Options that differ from the defaults.
      */
     addWorker(workerId: string, address: string, change: Partial<TaskWorkerModelOptions> = {}): void {
         this.models.get(address)?.kill();
@@ -180,23 +180,23 @@
         this.records.set(workerId, makeWorkerRecord(workerId, { address, capacity }));
     }
 
-    /** Ends the life at an address; nothing answers there any more. */
+    /** Kills the worker at an address; nothing answers there anymore. */
     killWorker(address: string): void {
         this.models.get(address)?.kill();
         this.models.delete(address);
     }
 
-    /** Removes a worker from the list; it may go on. */
+    /** Removes a worker from the worker list; the worker itself keeps running. */
     removeFromList(workerId: string): void {
         this.records.delete(workerId);
     }
 
-    /** Puts a worker back into the list. */
+    /** Adds a worker to the worker list again. */
     restoreToList(workerId: string, address: string, change: Partial<WorkerRecord> = {}): void {
         this.records.set(workerId, makeWorkerRecord(workerId, { address, ...change }));
     }
 
-    /** Finds the life at an address; undefined where nothing answers. */
+    /** Finds the worker at an address; undefined if nothing answers there. */
     findModel(address: string): TaskWorkerModel | undefined {
         return this.models.get(address);
     }
@@ -208,9 +208,9 @@
     }
 
     /**
-     * Claims the leadership and loads the journal.
-     * @param wasHandedOver - Whether the earlier leader gave it up.
-     * @param epochs - What the leader's process has known of earlier epochs.
+     * Starts a leader: claims the leadership and loads the journal.
+     * @param wasHandedOver - Whether the previous leader stepped down.
+     * @param epochs - Earlier epochs that the leader's process has observed.
      */
     async startLeader(wasHandedOver = false, epochs = new EpochHistory()): Promise<TestLeader> {
         const clock = new PausableClock(this.clock);
@@ -275,25 +275,25 @@
             },
         });
         leader.setWorkers(new Map(this.records));
-        return { leader, epoch: claim.epoch, book: loaded.jobs, clock, storePath, workers, log, deposed };
+        return { leader, epoch: claim.epoch, jobs: loaded.jobs, clock, storePath, workers, log, deposed };
     }
 
-    /** Shows a leader the worker list as it is now. */
+    /** Passes the current worker list to a leader. */
     refreshWorkers({ leader }: TestLeader): void {
         leader.setWorkers(new Map(this.records));
     }
 
-    /** Hands a job in; the caller moves time on. */
+    /** Submits a job without advancing time. */
     send({ leader }: TestLeader, number: number, spec: JobSpec): Promise<CallerReply> {
         return leader.serve({ kind: "submit", host: HOST, path: `${PREFIX}${makeJobId(number)}`, spec });
     }
 
-    /** Hands a job in and waits for the answer. */
+    /** Submits a job and advances time until the answer arrives. */
     submit(leader: TestLeader, number: number, spec: JobSpec): Promise<CallerReply> {
         return this.clock.wait(this.send(leader, number, spec), CALL_MS * 8);
     }
 
-    /** Asks for a job's state. */
+    /** Requests a job's state. */
     show({ leader }: TestLeader, number: number): Promise<CallerReply> {
         const path = `${PREFIX}${makeJobId(number)}`;
         return this.clock.wait(leader.serve({ kind: "show", host: HOST, path }), CALL_MS);
@@ -305,7 +305,7 @@
         return this.clock.wait(leader.serve({ kind: "cancel", host: HOST, path }), CALL_MS * 8);
     }
 
-    /** Counts the runs that began of a job's tasks. */
+    /** Counts the started runs of a job's tasks. */
     countStarts(number: number): number {
         return this.starts.filter(start => start.task.startsWith(makeJobId(number))).length;
     }
--- a/src/test/leader/lost-cancellations_test.ts
+++ b/src/test/leader/lost-cancellations_test.ts
@@ -1,4 +1,4 @@
-/** Cancellations that are not durable when their leader is lost: the job goes on as if nobody had cancelled it. */
+/** Cancellations that are not durable when their leader is lost: the job continues as if never cancelled. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { CORE, LeaderCell, makeJobId, makeSpec } from "./leader-cell.js";
@@ -11,10 +11,10 @@
 }
 
 describe("a job whose cancellation is not durable yet", () => {
-    it("goes on running, and is finished by the next leader", async () => {
-        // A caller cancels a job while the store is silent, and the leader is lost before the cancellation is stored. The
-        // caller is told that nobody knows. The job is not cancelled, but its run had been stopped by then: what it had
-        // done was lost, and the job took twice as long.
+    it("keeps running and is completed by the next leader", async () => {
+        // A job is cancelled while the store does not answer, and the leader is lost before the cancellation
+        // is stored. The caller gets an unknown result. The job is not cancelled, but its run had already
+        // been stopped: its progress was lost, and the job took twice as long.
         const cell = new LeaderCell(1);
         cell.getBehavior = () => ({ demand: CORE, runMs: RUN_MS, end: "done" });
         const first = await cell.startLeader();
@@ -33,7 +33,7 @@
         assert.equal(cell.countStarts(1), 1);
     });
 
-    it("starts nothing more meanwhile, and is stopped once it is durable", async () => {
+    it("starts no further runs, and is stopped once the cancellation is durable", async () => {
         const cell = new LeaderCell(1);
         cell.getBehavior = () => ({ demand: CORE, runMs: 1_000, end: "done" });
         const leader = await cell.startLeader();
--- a/src/test/leader/order-refusals_test.ts
+++ b/src/test/leader/order-refusals_test.ts
@@ -1,4 +1,4 @@
-/** For how long a worker that refused an order of a step gets no other one of it. */
+/** How long a worker that refused an order of a step is sent no further orders of that step. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -10,12 +10,13 @@
 const SOON_MS: Millis = 400;
 
 describe("OrderRefusals", () => {
-    it("pauses a worker as after a first refusal if the last one is long past", () => {
-        // A service's task stood still for ten seconds beside the only worker that fits it. That worker had refused single
-        // orders over hours and had taken the next one each time; each refusal doubled the pause for the rest of the step's life.
-        const book = new JobRegistry();
-        book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
-        const [step] = book.listRunnable();
+    it("pauses a worker as after a first refusal if the previous one was long ago", () => {
+        // A service's task waited for ten seconds beside the only worker that fits it. That worker had
+        // refused single orders over hours and accepted the next one each time; each refusal doubled the
+        // pause for as long as the step existed.
+        const jobs = new JobRegistry();
+        jobs.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
+        const [step] = jobs.listRunnable();
         assert(step !== undefined);
         const refusals = new OrderRefusals();
         let now: Millis = 0;
@@ -26,10 +27,10 @@
         assert.deepEqual([...refusals.listPaused(step, now + SOON_MS)], []);
     });
 
-    it("pauses it for longer with each refusal that follows soon", () => {
-        const book = new JobRegistry();
-        book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
-        const [step] = book.listRunnable();
+    it("pauses a worker for longer after each further refusal soon after the last", () => {
+        const jobs = new JobRegistry();
+        jobs.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
+        const [step] = jobs.listRunnable();
         assert(step !== undefined);
         const refusals = new OrderRefusals();
         refusals.observe(step, "w1", 0);
--- a/src/test/leader/permit-desk_test.ts
+++ b/src/test/leader/permit-desk_test.ts
@@ -6,7 +6,7 @@
 import type { PermitWish } from "../../process/dispatch/plan.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { JobRegistry } from "../../process/jobs/job-registry.js";
-import { PermitDesk } from "../../process/leader/permit-desk.js";
+import { PermitCoordinator } from "../../process/leader/permit-coordinator.js";
 import type { QueueConfig } from "../../version/cluster-config.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 import { createFakeLog, createFakeMetrics } from "../fakes/fake-telemetry.js";
@@ -19,13 +19,13 @@
 class Line {
     readonly clock = new FakeClock();
     readonly advice = new AdviceDesk(this.clock, createFakeLog());
-    readonly desk: PermitDesk;
+    readonly desk: PermitCoordinator;
     private readonly book = new JobRegistry();
 
     constructor() {
         const { clock } = this;
         const log = createFakeLog();
-        this.desk = new PermitDesk(
+        this.desk = new PermitCoordinator(
             { clock, log, metrics: createFakeMetrics(), requestPass: () => undefined },
             this.advice,
         );
--- a/src/test/leader/random-day.ts
+++ b/src/test/leader/random-day.ts
@@ -1,6 +1,7 @@
 /**
- * A random day of a cluster with three queues: bursts of work, gangs that have less urgent runs stopped, advice, cancels,
- * and faults of leaders, store, workers, worker list, advice and configuration. Then all is well, and work must end.
+ * A randomized simulation of a cluster with three queues ("random day"): bursts of jobs, gangs that preempt
+ * less urgent runs, advice, cancellations, and faults of leaders, store, workers, worker list, advice service
+ * and configuration. Then all faults end, and every accepted job must end.
  */
 import type { Millis } from "../../common/clock.js";
 import { createRandom } from "../../common/random.js";
@@ -13,47 +14,47 @@
 import type { StepAdvice } from "./day-advice.js";
 import { DayCallers } from "./day-callers.js";
 import type { DayJob } from "./day-callers.js";
+import { DayInvariantChecker } from "./day-invariant-checker.js";
 import { DAY_NODES, DayLeaders } from "./day-leaders.js";
-import { DayWitness } from "./day-witness.js";
 import { DAY_QUEUES, describeRun, findStepSpec, hashToFraction } from "./day-work.js";
 import { DayWorkers } from "./day-workers.js";
-import type { DayWorker, LifeHooks } from "./day-workers.js";
+import type { DayWorker, WorkerHooks } from "./day-workers.js";
 import { LeaderCell } from "./leader-cell.js";
 
-/** Whatever is to come back by itself is back after this. */
+/** Time after the last action within which all temporary faults end by themselves. */
 const RECOVERY_MS: Millis = 15_000;
-/** Within it every job of a calm cluster ends. */
+/** Time within which every job must end once there are no more faults. */
 const SETTLE_MS: Millis = 120_000;
 const SETTLE_STEP_MS: Millis = 2_000;
-/** Time from the start of a task that crashes its worker to the crash, and for which the worker is down, on the mean. */
+/** Time from the start of a crashing task to its worker's crash, and mean time until the worker restarts. */
 const CRASH_AFTER_MS: Millis = 10;
 const CRASH_DOWN_MS: Millis = 3_000;
 
-/** How a day differs from others. */
+/** Options of a {@link RandomDay}. */
 export interface DayOptions {
-    readonly acts: number;
-    readonly mostJobs: number;
-    /** Longest time between two acts. */
-    readonly longestGapMs: Millis;
-    /** Whether a queue that was dropped may be missing at the end; its jobs are not judged then. */
+    readonly actionCount: number;
+    readonly maxJobs: number;
+    /** Longest time between two actions. */
+    readonly maxGapMs: Millis;
+    /** Whether a dropped queue may be missing at the end; its jobs are not checked then. */
     readonly leavesQueuesDropped: boolean;
-    /** Whether the advice service allows only workers that stand in the worker list at that moment. */
+    /** Whether the advice service allows only workers that are in the worker list at that moment. */
     readonly advisesByList: boolean;
-    /** Share of the jobs of which a task crashes each worker that starts it. */
+    /** Share of the jobs with a task that crashes each worker that starts it. */
     readonly crashingShare: number;
     /** Whether the capacity of workers shrinks and grows again. */
     readonly shrinksWorkers: boolean;
 }
 
-/** Days of several lengths and loads. */
-const SHAPES: readonly Pick<DayOptions, "acts" | "mostJobs" | "longestGapMs">[] = [
-    { acts: 150, mostJobs: 110, longestGapMs: 450 },
-    { acts: 300, mostJobs: 200, longestGapMs: 450 },
-    { acts: 150, mostJobs: 60, longestGapMs: 900 },
-    { acts: 100, mostJobs: 160, longestGapMs: 200 },
+/** Lengths and loads of days; the seed selects one. */
+const SHAPES: readonly Pick<DayOptions, "actionCount" | "maxJobs" | "maxGapMs">[] = [
+    { actionCount: 150, maxJobs: 110, maxGapMs: 450 },
+    { actionCount: 300, maxJobs: 200, maxGapMs: 450 },
+    { actionCount: 150, maxJobs: 60, maxGapMs: 900 },
+    { actionCount: 100, maxJobs: 160, maxGapMs: 200 },
 ];
 
-type Act = () => Promise<void> | void;
+type Action = () => Promise<void> | void;
 
 /** Returns the options of a seed's day. */
 export function chooseDayOptions(seed: number, change: Partial<DayOptions> = {}): DayOptions {
@@ -68,9 +69,9 @@
     };
 }
 
-/** The day; see the module comment. */
+/** Runs one random day and reports the violated guarantees. */
 export class RandomDay {
-    readonly witness: DayWitness;
+    readonly checker: DayInvariantChecker;
     readonly leaders: DayLeaders;
     private readonly cell = new LeaderCell(0);
     private readonly random: Random;
@@ -78,14 +79,13 @@
     private readonly jobs = new Map<string, DayJob>();
     private readonly workers: DayWorkers;
     private readonly callers: DayCallers;
-    private readonly acts: readonly Act[];
+    private readonly actions: readonly Action[];
     private configVersion = 1;
     /** Time until all work had ended once all was well. */
     settledMs: Millis = 0;
 
     /**
-     * @param seed - Decides everything.
-     * @param options - How the day differs from others.
+     * @param seed - Determines the whole day together with the options.
      */
     constructor(seed: number, private readonly options: DayOptions = chooseDayOptions(seed)) {
         const { cell } = this;
@@ -96,11 +96,11 @@
             workerId => !options.advisesByList || this.workers.isListed(workerId),
         );
         this.leaders = new DayLeaders(cell, this.random, this.advice);
-        this.witness = new DayWitness(
+        this.checker = new DayInvariantChecker(
             cell.clock,
             jobId => this.jobs.get(jobId)?.spec,
             () => this.leaders.handleStopped(),
-            (task, run) => this.leaders.hasTakenEnd(task, run),
+            (task, run) => this.leaders.hasAcceptedEnd(task, run),
         );
         this.workers = new DayWorkers(
             cell,
@@ -108,37 +108,37 @@
             (worker, workerId) => this.buildHooks(worker, workerId),
             this.leaders,
         );
-        const { random, leaders, witness } = this;
+        const { random, leaders, checker } = this;
         this.callers = new DayCallers({
             cell,
             random,
             leaders,
-            witness,
-            mostJobs: options.mostJobs,
-            maySkipQueues: options.leavesQueuesDropped,
+            checker,
+            maxJobs: options.maxJobs,
+            allowsMissingQueues: options.leavesQueuesDropped,
             listAllowed: step => this.listAllowed(step),
         }, this.jobs);
         cell.config = { ...cell.config, queues: DAY_QUEUES.map(queue => queue.config) };
-        this.acts = this.chooseActs();
+        this.actions = this.chooseActions();
     }
 
     /**
      * Runs the day.
-     * @returns What it broke; empty where all is as it must be.
+     * @returns Violated guarantees and unfinished jobs; empty if there are none.
      */
     async run(): Promise<readonly string[]> {
         await this.leaders.install();
-        for (let act = 0; act < this.options.acts; act++) {
-            await this.pick(this.acts)();
-            await this.cell.clock.step(this.random.pickInt(this.options.longestGapMs));
+        for (let index = 0; index < this.options.actionCount; index++) {
+            await this.pick(this.actions)();
+            await this.cell.clock.step(this.random.pickInt(this.options.maxGapMs));
             await this.leaders.ensure();
         }
         await this.heal();
         const unfinished = await this.settle();
-        return [...this.witness.faults, ...this.callers.listRefusedStarts(), ...unfinished];
+        return [...this.checker.faults, ...this.callers.listRefusedStarts(), ...unfinished];
     }
 
-    /** Describes the day in one line. */
+    /** Summarizes the day in one line. */
     describe(): string {
         const events = ["runPreempted", "snapshotWritten", "foreignRunStopped", "runsLost"];
         return [
@@ -148,26 +148,26 @@
         ].join(", ");
     }
 
-    /** Each day has a few kinds of faults, so that one does not always hide the other. */
-    private chooseActs(): readonly Act[] {
+    /** Chooses a random subset of the kinds of faults, so that one kind does not always hide another. */
+    private chooseActions(): readonly Action[] {
         const { leaders, workers, callers } = this;
-        const kinds: readonly { readonly weight: number; readonly act: Act; }[] = [
-            { weight: 4, act: () => leaders.replace() },
-            { weight: 2, act: () => leaders.planLossAtStop() },
-            { weight: 4, act: () => this.breakStore() },
-            { weight: 6, act: () => this.breakWorkerPath() },
-            { weight: 3, act: () => workers.dropFromList() },
-            { weight: 2, act: () => workers.restart() },
-            { weight: 2, act: () => workers.break() },
-            { weight: 4, act: () => this.breakAdvice() },
-            { weight: 1, act: () => this.dropQueue() },
-            ...this.options.shrinksWorkers ? [{ weight: 6, act: () => workers.cutCapacity() }] : [],
-            { weight: 4, act: () => callers.cancel() },
-            { weight: 4, act: () => callers.sendAgain() },
+        const kinds: readonly { readonly weight: number; readonly action: Action; }[] = [
+            { weight: 4, action: () => leaders.replace() },
+            { weight: 2, action: () => leaders.planLossAtStop() },
+            { weight: 4, action: () => this.breakStore() },
+            { weight: 6, action: () => this.breakWorkerPath() },
+            { weight: 3, action: () => workers.dropFromList() },
+            { weight: 2, action: () => workers.restart() },
+            { weight: 2, action: () => workers.break() },
+            { weight: 4, action: () => this.breakAdvice() },
+            { weight: 1, action: () => this.dropQueue() },
+            ...this.options.shrinksWorkers ? [{ weight: 6, action: () => workers.cutCapacity() }] : [],
+            { weight: 4, action: () => callers.cancel() },
+            { weight: 4, action: () => callers.submitAgain() },
         ];
-        const faults = kinds.flatMap(({ weight, act }) => {
-            const isOfToday = this.random.pickInt(5) < 3;
-            return Array.from({ length: isOfToday ? weight : 0 }, () => act);
+        const faults = kinds.flatMap(({ weight, action }) => {
+            const isEnabled = this.random.pickInt(5) < 3;
+            return Array.from({ length: isEnabled ? weight : 0 }, () => action);
         });
         const submissions = Math.max(20, faults.length * 2);
         return [...faults, ...Array.from({ length: submissions }, () => () => callers.submitBurst())];
@@ -191,24 +191,24 @@
             .filter(workerId => this.advice.isAllowed(step, workerId));
     }
 
-    private buildHooks(worker: DayWorker, workerId: string): LifeHooks {
-        const { witness, advice, cell } = this;
+    private buildHooks(worker: DayWorker, workerId: string): WorkerHooks {
+        const { checker, advice, cell } = this;
         return {
             isPermitted: (task, permit) => advice.isPermitted(task, workerId, permit),
             getBehavior: (task, run) => this.describeTask(task, run, worker.slowness),
             handleStart: (...[task, , used, order]) => {
-                witness.observeStart(cell.getModel(worker.address), order, used, worker.allowedCapacity);
+                checker.observeStart(cell.getModel(worker.address), order, used, worker.allowedCapacity);
                 if (this.isCrashing(task)) {
                     cell.clock.schedule(CRASH_AFTER_MS, () => this.killWorker(worker, workerId, task));
                 }
             },
-            handleEnd: (task, run, end) => witness.observeEnd(workerId, task, run, end),
-            handleSeen: ended => witness.observeSeen(workerId, ended),
-            handleLapse: () => witness.observeLapse(workerId),
+            handleEnd: (task, run, end) => checker.observeEnd(workerId, task, run, end),
+            handleSeen: ended => checker.observeAcknowledged(workerId, ended),
+            handleLapse: () => checker.observeLeaseExpiry(workerId),
         };
     }
 
-    /** Tells whether a task crashes each worker that starts it: at most the first one of a job's first step. */
+    /** Returns whether a task crashes each worker that starts it; only the first task of a first step can. */
     private isCrashing(task: string): boolean {
         const ref = parseTaskName(task);
         return ref?.step === 0 && ref.index === 0 &&
@@ -219,9 +219,9 @@
         if (worker.workerId !== workerId || !worker.isAlive) {
             return;
         }
-        this.witness.observeCrash(task);
+        this.checker.observeCrash(task);
         const downMs = CRASH_DOWN_MS * (0.5 + hashToFraction(`${task} ${workerId}`));
-        this.workers.killLife(worker, Math.round(downMs), true);
+        this.workers.killIncarnation(worker, Math.round(downMs), true);
     }
 
     private describeTask(task: string, run: number, slowness: number): TaskBehavior {
@@ -243,7 +243,7 @@
 
     private breakStore(): void {
         const { storePath } = this.leaders.get();
-        const acts: readonly Act[] = [
+        const storeFaults: readonly Action[] = [
             () => {
                 storePath.faults.unreachable = true;
                 this.cell.clock.schedule(300 + this.random.pickInt(9_000), () => {
@@ -256,14 +256,15 @@
             () => storePath.plan(this.pickCallFault(), this.pickCallFault()),
             () => storePath.plan(this.pickCallFault(), this.pickCallFault()),
         ];
-        void this.pick(acts)();
+        void this.pick(storeFaults)();
     }
 
     private breakWorkerPath(): void {
         const path = this.leaders.get().workers.getPath(this.workers.pick().address);
-        const plan: Act = () => path.plan(this.pickCallFault(), this.pickCallFault(), this.pickCallFault());
+        const plan: Action = () =>
+            path.plan(this.pickCallFault(), this.pickCallFault(), this.pickCallFault());
         const lossy = { dropAnswerShare: 0.2, delayShare: 0.1, delayLimitMs: 4_000 };
-        const acts: readonly Act[] = [
+        const pathFaults: readonly Action[] = [
             () => {
                 path.faults.unreachable = true;
                 this.cell.clock.schedule(300 + this.random.pickInt(12_000), () => {
@@ -276,13 +277,13 @@
             plan,
             plan,
         ];
-        void this.pick(acts)();
+        void this.pick(pathFaults)();
     }
 
     private breakAdvice(): void {
         const node = this.pick(DAY_NODES);
-        const fail: Act = () => this.advice.setFault(node, this.pick(Object.values(AdviceFault)));
-        const acts: readonly Act[] = [
+        const fail: Action = () => this.advice.setFault(node, this.pick(Object.values(AdviceFault)));
+        const adviceFaults: readonly Action[] = [
             () => {
                 this.leaders.removeCaller(node);
                 this.cell.clock.schedule(this.random.pickInt(4_000), () => this.leaders.addCaller(node));
@@ -292,7 +293,7 @@
             fail,
             fail,
         ];
-        void this.pick(acts)();
+        void this.pick(adviceFaults)();
     }
 
     private dropQueue(): void {
@@ -313,7 +314,7 @@
         this.leaders.publishConfig();
     }
 
-    /** The leader of the moment goes on where it can: what it holds in memory may be what is wrong. */
+    /** Ends all faults. The current leader is kept where possible, as the fault may be in its memory. */
     private async heal(): Promise<void> {
         await this.cell.clock.step(RECOVERY_MS);
         this.advice.heal();
--- a/src/test/leader/random-days_test.ts
+++ b/src/test/leader/random-days_test.ts
@@ -1,9 +1,10 @@
 /**
- * Random days of a cluster with several queues, from fixed seeds.
+ * Random days (randomized simulations) of a cluster with several queues, from fixed seeds.
  *
- * What must hold, whatever happens: no task runs twice at once or after it is known to be done, none begins before the
- * steps it depends on are done, no worker is over its capacity, no refused job starts, a task goes on from its newest
- * checkpoint, no task takes down more than five workers, and once everything is well again every accepted job ends.
+ * Guarantees under all faults: no task runs twice at once or after it is known to be done, none starts before
+ * the steps it depends on are done, no worker is over its capacity, no refused job starts, a task resumes
+ * from its newest checkpoint, no task crashes more than five workers, and once all faults have ended every
+ * accepted job ends.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -14,17 +15,17 @@
 
 /** Seeds of days with tasks that crash their workers. */
 const CRASHING_SEEDS = [31, 36, 41, 42, 1045, 1049, 1158, 1277];
-/** Seeds of days on which the capacity of workers shrinks and grows as well. */
+/** Seeds of days on which, in addition, the capacity of workers shrinks and grows. */
 const SHRINKING_SEEDS = [3012, 3099, 3113, 5186];
 const CRASHING_SHARE = 0.03;
 
 const kinds: readonly { readonly name: string; readonly change: Partial<DayOptions>; }[] = [
-    { name: "all queues are back in the end", change: {} },
+    { name: "all queues are restored at the end", change: {} },
     { name: "queues stay dropped", change: { leavesQueuesDropped: true } },
 ];
 
 describe("random days", () => {
-    /** Lines of all leaders' logs that show what the days held. */
+    /** Log events of the leaders that the days must cover. */
     const events = ["runPreempted", "snapshotWritten", "foreignRunStopped", "runsLost", "runNotStarted"];
     const cover = new Map(events.map(event => [event, 0]));
 
@@ -53,7 +54,7 @@
         });
     }
 
-    it("hold preemption, snapshots, lost and refused runs", () => {
+    it("cover preemption, snapshots, lost and refused runs", () => {
         const missing = [...cover].filter(([, count]) => count === 0).map(([event]) => event);
         assert.deepEqual(missing, []);
     });
--- a/src/test/leader/random-runs_test.ts
+++ b/src/test/leader/random-runs_test.ts
@@ -1,8 +1,8 @@
 /**
- * Random runs of leaders, workers and a store with faults of all kinds, from fixed seeds.
+ * Random runs of leaders, workers and a store with random faults, from fixed seeds.
  *
- * What must hold, whatever happens: no task runs twice at once, no worker is over its capacity, no refused job starts,
- * no end that was shown is taken back, and once everything is well again every accepted job ends.
+ * Guarantees under all faults: no task runs twice at once, no worker is over its capacity, no refused job
+ * starts, no outcome that was shown is revoked, and once all faults have ended every accepted job ends.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -16,7 +16,7 @@
 const WORKERS = 4;
 const JOBS = 25;
 const STEPS = 40;
-/** Takes a lease, the earlier leaders' right and a few runs. */
+/** Covers a lease, the time for which earlier leaders may extend leases, and a few runs. */
 const SETTLE_MS = 60_000;
 
 class RandomRun {
@@ -25,7 +25,7 @@
     private readonly replies = new Map<number, CallerReply>();
     private leader: TestLeader | undefined;
     private jobs = 0;
-    private lives = WORKERS;
+    private incarnations = WORKERS;
     private readonly shown = new Map<number, string>();
 
     constructor(private readonly seed: number) {
@@ -49,7 +49,7 @@
     }
 
     private async step(): Promise<void> {
-        const acts = [
+        const actions = [
             () => this.submit(),
             () => this.submit(),
             () => this.submit(),
@@ -61,7 +61,7 @@
             () => this.replaceLeader(),
             () => this.observe(),
         ];
-        await acts[this.random.pickInt(acts.length)]?.();
+        await actions[this.random.pickInt(actions.length)]?.();
     }
 
     private submit(): void {
@@ -115,14 +115,14 @@
 
     private restartWorker(): void {
         const number = 1 + this.random.pickInt(WORKERS);
-        this.lives += 1;
-        this.cell.addWorker(`w${this.lives}`, `10.0.0.${number}:80`);
+        this.incarnations += 1;
+        this.cell.addWorker(`w${this.incarnations}`, `10.0.0.${number}:80`);
         if (this.leader !== undefined) {
             this.cell.refreshWorkers(this.leader);
         }
     }
 
-    /** The old leader is killed, or paused, or goes on beside the new one. */
+    /** Starts another leader; the old one is killed, paused, or keeps running beside it. */
     private async replaceLeader(): Promise<void> {
         const old = this.leader;
         const fates = [
@@ -137,7 +137,7 @@
         this.leader = await this.cell.startLeader();
     }
 
-    /** Notes ends that callers have seen. */
+    /** Records the outcomes shown to callers and checks that none changes. */
     private async observe(): Promise<void> {
         for (let number = 1; number <= this.jobs; number++) {
             const reply = await this.cell.show(this.leader as TestLeader, number);
@@ -145,12 +145,12 @@
                 assert.equal(
                     this.shown.get(number) ?? reply.phase,
                     reply.phase,
-                    `job ${number} changed its end`,
+                    `job ${number} changed its outcome`,
                 );
                 this.shown.set(number, reply.phase);
             }
             else {
-                assert.equal(this.shown.get(number), undefined, `job ${number} has lost its end`);
+                assert.equal(this.shown.get(number), undefined, `job ${number} has lost its outcome`);
             }
         }
     }
--- a/src/test/leader/refused-orders_test.ts
+++ b/src/test/leader/refused-orders_test.ts
@@ -1,4 +1,4 @@
-/** Workers that refuse the orders of one step while others would take them. */
+/** Workers that refuse the orders of one step while other workers would accept them. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -9,7 +9,10 @@
 const ADVICE = { decideMs: 20, perWorkerMs: 1, validMs: 2_500 };
 const ADDRESS = "10.0.0.1:80";
 
-/** Runs jobs under a leader whose worker `w1` answers each order for job 1 in one way. */
+/**
+ * Runs jobs under a leader whose worker `w1` gives the same answer to each order for job 1.
+ * @param laterTasks - Task counts of the jobs after job 1.
+ */
 async function runCell(answer: WorkerAnswer<Millis>, ...laterTasks: readonly number[]): Promise<LeaderCell> {
     const cell = new LeaderCell(2);
     cell.config = { ...cell.config, queues: [{ ...QUEUE, advice: ADVICE }] };
@@ -38,8 +41,8 @@
     const reasons = [OrderRefusal.late, OrderRefusal.outdated, OrderRefusal.invalid, OrderRefusal.noPermit];
     for (const reason of reasons) {
         it(`starts on another worker where the reason is "${reason}"`, async () => {
-            // An accepted task waits for ever beside a worker that would take it. Another one looks like the better place,
-            // refuses each order, and is the better place again a moment later.
+            // An accepted task waits forever beside a worker that would accept it: another worker ranks
+            // higher, refuses each order, and ranks higher again a moment later.
             const cell = await runCell({ kind: "refused", reason });
             const start = cell.starts.find(({ task }) => task.startsWith(makeJobId(1)));
             assert.equal(start?.workerId, "w2");
@@ -48,9 +51,9 @@
         });
     }
 
-    it("starts on another worker where orders stay without an answer", async () => {
-        // As above; the worker answers reports but no order, and the pause that it got was over before the reports had
-        // settled the order.
+    it("starts on another worker where orders remain unanswered", async () => {
+        // As above, but the worker answers report requests and no orders: its pause ended before the reports
+        // had resolved the order.
         const cell = await runCell({ kind: "unknown", message: "no answer" });
         const start = cell.starts.find(({ task }) => task.startsWith(makeJobId(1)));
         assert.equal(start?.workerId, "w2");
@@ -58,7 +61,7 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("leaves the worker to other steps where the reason is about the step", async () => {
+    it("keeps the worker available to other steps where the reason concerns only the step", async () => {
         // Four tasks fit on each worker, so both are needed.
         const cell = await runCell({ kind: "refused", reason: OrderRefusal.outdated }, 6);
         const others = cell.starts.filter(({ task, at }) => task.startsWith(makeJobId(2)) && at < 2_000);
--- a/src/test/leader/run-losses_test.ts
+++ b/src/test/leader/run-losses_test.ts
@@ -1,4 +1,4 @@
-/** What the lines say about runs that are lost with their worker. */
+/** Log lines about runs that are lost with their worker. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { RunLoss } from "../../process/leader/run-loss.js";
@@ -10,7 +10,7 @@
 
 interface Case {
     readonly cause: RunLoss;
-    /** Takes the worker away; returns the leader whose lines count. */
+    /** Makes the worker unavailable; returns the leader whose log is checked. */
     readonly lose: (cell: LeaderCell, leader: TestLeader) => Promise<TestLeader>;
     /** Whether the leader that lost the run had ordered it. */
     readonly isOwnRun: boolean;
@@ -45,9 +45,9 @@
     },
 ];
 
-describe("lines about lost runs", () => {
+describe("log lines about lost runs", () => {
     for (const { cause, lose, isOwnRun } of CASES) {
-        it(`say that a run was lost as ${cause}, and how long it ran`, async () => {
+        it(`state the cause ${cause} and how long the run ran`, async () => {
             const cell = new LeaderCell(1);
             cell.getBehavior = () => ({ demand: CORE, runMs: 60_000, end: "done" });
             const first = await cell.startLeader();
--- a/src/test/leader/shrinking-workers_test.ts
+++ b/src/test/leader/shrinking-workers_test.ts
@@ -6,7 +6,7 @@
 import type { TestLeader } from "./leader-cell.js";
 
 const ADDRESS = "10.0.0.1:80";
-/** Time for a pass and for what it starts. */
+/** Time for a scheduling pass and the starts that it orders. */
 const PASS_MS = 300;
 
 function setCores(cell: LeaderCell, leader: TestLeader, cores: number): void {
@@ -24,7 +24,7 @@
 }
 
 describe("a worker whose capacity shrinks", () => {
-    it("is not sent a run that was assigned while it had room", async () => {
+    it("is not sent a run that was assigned before its capacity shrank", async () => {
         const { cell, leader } = await startCell();
         leader.storePath.faults.slowMs = 400;
         const accepted = cell.send(leader, 1, makeSpec({ taskCount: 4 }));
@@ -36,7 +36,7 @@
         assert.equal(cell.starts.length, 2);
     });
 
-    it("is given nothing new until what runs fits again, and more when it grows", async () => {
+    it("receives no new runs until the running ones fit again, and more when it grows", async () => {
         const { cell, leader } = await startCell();
         await cell.submit(leader, 1, makeSpec({ taskCount: 3 }));
         await cell.clock.step(PASS_MS);
@@ -53,7 +53,7 @@
         assert.deepEqual(await cell.show(leader, 1), { kind: "state", phase: "running" });
     });
 
-    it("fails no job that fits on it only when it has grown again", async () => {
+    it("does not fail a job that fits only once the worker has grown again", async () => {
         const { cell, leader } = await startCell();
         setCores(cell, leader, 1);
         const demand = { ...CORE, cpuMillis: 3 * CORE.cpuMillis };
--- a/src/test/leader/store-outages_test.ts
+++ b/src/test/leader/store-outages_test.ts
@@ -1,4 +1,4 @@
-/** The store away for seconds: what waits goes on as soon as it is back, and is not asked for all the while. */
+/** Outages of the store: waiting work resumes as soon as it is back, without a flood of calls meanwhile. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { PathFaults } from "../fakes/call-path.js";
@@ -7,7 +7,7 @@
 const OUTAGE_MS = 4_200;
 /** Half of a short job's slack; the other half is for its own steps. */
 const RESUME_LIMIT_MS = 280;
-/** A tenth of the 400 writes a second that the store takes from all nodes. */
+/** A tenth of the 400 writes per second that the store accepts from all nodes. */
 const MAX_CALLS_PER_S = 40;
 
 interface Outage {
@@ -16,17 +16,18 @@
 }
 
 const OUTAGES: readonly Outage[] = [
-    { name: "turns every call away", faults: { unreachable: true } },
+    { name: "rejects every call", faults: { unreachable: true } },
     { name: "resets every connection", faults: { resets: true } },
-    { name: "answers nothing", faults: { dropRequestShare: 1 } },
+    { name: "answers no call", faults: { dropRequestShare: 1 } },
 ];
 
-describe("a leader whose store is away", () => {
+describe("a leader whose store is unavailable", () => {
     for (const { name, faults } of OUTAGES) {
-        it(`goes on with what waits when a store is back that ${name}`, async () => {
-            // The store is away for four seconds while tasks end whose successors wait for that to be stored. It is back,
-            // and the successors start up to a second later: the leader was pausing, or waited for answers that had been
-            // lost with their connections. Meanwhile each of its waiting records was sent again many times a second.
+        it(`resumes waiting work soon after an outage in which the store ${name}`, async () => {
+            // The store is unavailable for four seconds while tasks end whose successors wait for that to be
+            // stored. After the outage the successors started up to a second late: the leader was in backoff,
+            // or waited for answers that were lost with their connections. During it, each pending record was
+            // sent again many times a second.
             const cell = new LeaderCell(4);
             const leader = await cell.startLeader();
             await cell.clock.step(100);
--- a/src/test/leader/unclosed-jobs_test.ts
+++ b/src/test/leader/unclosed-jobs_test.ts
@@ -1,4 +1,4 @@
-/** Jobs that are over and whose close was lost with the leader that decided it. */
+/** Jobs whose last run has ended and whose closing was lost with the leader that decided it. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { JobEvent, RunEnd } from "../../process/jobs/job-events.js";
@@ -12,10 +12,10 @@
 interface Case {
     readonly name: string;
     readonly step: Partial<StepSpec>;
-    /** How the runs of the first task ended. */
+    /** Outcomes of the first task's runs, in order. */
     readonly ends: readonly RunEnd[];
     readonly phase: string;
-    /** Runs that begin under the next leader. */
+    /** Number of runs that start under the next leader. */
     readonly starts: number;
 }
 
@@ -41,9 +41,10 @@
 describe("a job", () => {
     for (const { name, step, ends, phase, starts } of CASES) {
         it(`${name} ends as ${phase} under the next leader`, async () => {
-            // The last end of a job and its close are decided together, but a record takes so many events: the end stands
-            // in the last one that was written, and the leader is lost before the close. No end of the job comes any more,
-            // so it was shown as running for good, or was given one attempt more than its queue allows.
+            // The last end of a job and its closing are decided together, but a record holds a limited number
+            // of events: the end is in the last record written, and the leader is lost before the closing. As
+            // no further end arrived, the job was shown as running forever, or got one attempt more than its
+            // queue allows.
             const events: JobEvent[] = [
                 { type: "queueConfigured", version: 1, queue: QUEUE },
                 { type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec: makeSpec(step), at: 0 },
@@ -74,7 +75,7 @@
             step: { taskCount: 2, isGang: true },
         }]
     ) {
-        it(`is left its attempt under way, of ${name}, by a leader under which fewer are allowed`, async () => {
+        it(`keeps the running attempt of ${name} under a leader that allows fewer attempts`, async () => {
             const cell = new LeaderCell(1);
             cell.config = { ...cell.config, queues: [{ ...QUEUE, maxAttempts: 5 }] };
             cell.getBehavior = (...[, run]) => ({
--- a/src/test/leader/unheld-runs_test.ts
+++ b/src/test/leader/unheld-runs_test.ts
@@ -1,4 +1,4 @@
-/** Tasks that the book holds as assigned while nothing has their run. */
+/** Tasks that the job registry records as assigned although no worker or leader state contains their run. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { JobEvent } from "../../process/jobs/job-events.js";
@@ -25,50 +25,50 @@
 const CANCELLED: JobEvent = { type: "cancelled", jobId: JOB_ID, at: 0 };
 
 describe("UnheldRuns", () => {
-    // A task's run vanishes from its worker's state and no end of it is recorded. The task stays assigned, no pass starts it
-    // again, and its job stands still while most workers have room.
+    // A task's run vanishes from its worker's state without a recorded end. The task stays assigned, no pass
+    // starts it again, and its job stalls while most workers have free capacity.
     const cases: {
         name: string;
-        /** Events before each check. */
+        /** Events applied before each check. */
         rounds: readonly (readonly JobEvent[])[];
-        /** Indices of tasks whose run somebody has. */
+        /** Indices of the tasks whose run is accounted for. */
         held: readonly number[];
-        /** Runs that are named, as `index#run`. */
+        /** Reported runs, as `index#run`. */
         named: readonly string[];
-        /** Steps that wait for such a run after the last check. */
+        /** Number of steps that wait for such a run after the last check. */
         steps: number;
     }[] = [
         {
-            name: "says nothing of runs that somebody has",
+            name: "does not report runs that are accounted for",
             rounds: [[makeAssigned(0)]],
             held: [0],
             named: [],
             steps: 0,
         },
-        { name: "says nothing of tasks that wait", rounds: [[]], held: [], named: [], steps: 0 },
+        { name: "does not report waiting tasks", rounds: [[]], held: [], named: [], steps: 0 },
         {
-            name: "names a run once",
+            name: "reports a run once",
             rounds: [[makeAssigned(0), makeAssigned(1)], [], []],
             held: [0],
             named: ["1#1"],
             steps: 1,
         },
         {
-            name: "names a later run of the same task",
+            name: "reports a later run of the same task",
             rounds: [[makeAssigned(1)], [makeEnded(1), makeAssigned(1, 2)]],
             held: [],
             named: ["1#1", "1#2"],
             steps: 1,
         },
         {
-            name: "forgets a run that ended after all",
+            name: "drops a run that ended after all",
             rounds: [[makeAssigned(1)], [makeEnded(1)]],
             held: [],
             named: ["1#1"],
             steps: 0,
         },
         {
-            name: "says nothing of jobs that have ended",
+            name: "does not report jobs that have ended",
             rounds: [[makeAssigned(0), CANCELLED]],
             held: [],
             named: [],
@@ -77,16 +77,16 @@
     ];
     for (const { name, rounds, held, named, steps } of cases) {
         it(name, () => {
-            const book = new JobRegistry();
+            const registry = new JobRegistry();
             const spec = makeSpec({ taskCount: 3 });
-            book.apply({ type: "accepted", jobId: JOB_ID, queue: "batch", spec, at: 0 });
+            registry.apply({ type: "accepted", jobId: JOB_ID, queue: "batch", spec, at: 0 });
             const log = createFakeLog();
-            const context = { book, log };
+            const context = { jobs: registry, log };
             const runs = new UnheldRuns(context as unknown as LeaderContext, {
                 hasRun: task => held.includes(task.index),
             });
             for (const events of rounds) {
-                events.forEach(event => book.apply(event));
+                events.forEach(event => registry.apply(event));
                 runs.check();
             }
             const lines = log.lines.filter(line => line.code === "CR1617");
--- a/src/test/leader/wait-cause_test.ts
+++ b/src/test/leader/wait-cause_test.ts
@@ -1,4 +1,4 @@
-/** Which reason is given for which state of a waiting step. */
+/** The reason that is reported for each state of a waiting step. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { StepPermits } from "../../process/dispatch/permits.js";
@@ -13,10 +13,10 @@
 
 const NOW = 100_000;
 const VALID_MS = 2_500;
-const ROOM = { poolUsable: 3, usable: 2, places: 2, permittedPlaces: 2, mostTakenBy: undefined };
+const CAPACITY = { poolUsable: 3, usable: 2, places: 2, permittedPlaces: 2, mostTakenBy: undefined };
 const RUN: RunView = {
     place: RunPlace.nowhere,
-    isAtWork: false,
+    isExecuting: false,
     isInherited: false,
     ageMs: undefined,
     isListed: true,
@@ -31,7 +31,7 @@
     return buildOccurrence(job, spec, 0).steps;
 }
 
-/** The last of some steps, with some of its tasks assigned. */
+/** Makes a job's steps and returns the last one, with its first tasks assigned. */
 function makeLastStep(assigned: number, ...changes: readonly Partial<StepSpec>[]): Step {
     const step = makeSteps(...changes).at(-1);
     assert(step !== undefined);
@@ -41,7 +41,7 @@
     return step;
 }
 
-/** Permits for two of four workers, answered at an instant. */
+/** Makes permits for two of four workers, from an answer at the given time. */
 function makePermits(answeredAt: number): StepPermits {
     const permits = new StepPermits();
     const granted = [{ workerId: "w1", token: "t" }, { workerId: "w2", token: "t" }];
@@ -51,7 +51,7 @@
     return permits;
 }
 
-function makeAsked(permits: StepPermits, since: number, nodeName?: string): StepPermits {
+function addRequest(permits: StepPermits, since: number, nodeName?: string): StepPermits {
     permits.startQuestion(since, 8);
     if (nodeName !== undefined) {
         permits.observeSent(nodeName, since + 50);
@@ -59,7 +59,7 @@
     return permits;
 }
 
-/** Makes a step whose first task was lost with workers, the first of which crashed. */
+/** Makes a step whose first task was lost with several workers, the first of which crashed. */
 function makeLostStep(losses: number, isGang = false): Step {
     const step = makeLastStep(0, { taskCount: 2, isGang });
     for (let run = 1; run <= losses; run++) {
@@ -95,7 +95,7 @@
             expected: { reason: "gangMembers", task: `${makeJobId(1)}.0.0.0`, workerId: "w1" },
         },
         {
-            name: "a run that nothing has",
+            name: "a run that no worker has",
             state: { step: makeLastStep(1, {}) },
             expected: { reason: "assigned", place: "nowhere", workerId: "w1" },
         },
@@ -106,30 +106,30 @@
                 showRun: ({ index }) => ({
                     ...RUN,
                     place: index === 0 ? RunPlace.running : RunPlace.ordered,
-                    isAtWork: index === 0,
+                    isExecuting: index === 0,
                     ageMs: 700,
                 }),
             },
             expected: { reason: "assigned", task: `${makeJobId(1)}.0.0.1`, place: "ordered", runAgeMs: 700 },
         },
         {
-            name: "a store that is away",
+            name: "an unavailable store",
             state: { storeAway: true },
             expected: { reason: "noPass", storeAway: true, mayOrder: true },
         },
         {
-            name: "a leader that may not order",
+            name: "a leader that may not send orders",
             state: { mayOrder: false },
             expected: { reason: "noPass", storeAway: false, mayOrder: false },
         },
         {
-            name: "a question that was never put",
+            name: "an advice request that was never made",
             state: { permits: new StepPermits() },
             expected: { reason: "notAsked", questions: 0 },
         },
         {
-            name: "a question without a node",
-            state: { permits: makeAsked(new StepPermits(), NOW - 500) },
+            name: "an advice request that no node has taken",
+            state: { permits: addRequest(new StepPermits(), NOW - 500) },
             expected: {
                 reason: "questionWaiting",
                 questionMs: 500,
@@ -138,47 +138,50 @@
             },
         },
         {
-            name: "a question that a node has",
-            state: { permits: makeAsked(new StepPermits(), NOW - 500, "node-7") },
+            name: "an advice request that a node has sent",
+            state: { permits: addRequest(new StepPermits(), NOW - 500, "node-7") },
             expected: { reason: "questionUnderWay", questionMs: 500, askedMs: 450, askedNode: "node-7" },
         },
         {
-            name: "an old question before full workers",
+            name: "an old advice request rather than full workers",
             state: {
-                permits: makeAsked(makePermits(NOW - 90_000), NOW - 80_000, "node-7"),
-                room: { ...ROOM, places: 0, permittedPlaces: 0 },
+                permits: addRequest(makePermits(NOW - 90_000), NOW - 80_000, "node-7"),
+                capacity: { ...CAPACITY, places: 0, permittedPlaces: 0 },
             },
             expected: { reason: "questionUnderWay", questionMs: 80_000, allowed: 2, denied: 2, questions: 2 },
         },
         {
-            name: "questions that failed",
+            name: "failed advice requests",
             state: { permits: makeFailed() },
             expected: { reason: "questionFailed", questionFailures: 2 },
         },
         {
             name: "allowed workers that are gone",
-            state: { permits: makePermits(NOW), room: { ...ROOM, usable: 0, places: 0, permittedPlaces: 0 } },
+            state: {
+                permits: makePermits(NOW),
+                capacity: { ...CAPACITY, usable: 0, places: 0, permittedPlaces: 0 },
+            },
             expected: { reason: "noneUsable", allowed: 2, denied: 2, poolUsable: 3, usable: 0 },
         },
         {
             name: "allowed workers that are full",
             state: {
                 permits: makePermits(NOW),
-                room: { ...ROOM, places: 0, permittedPlaces: 0, mostTakenBy: "x" },
-                keeper: gang,
+                capacity: { ...CAPACITY, places: 0, permittedPlaces: 0, mostTakenBy: "x" },
+                reservingGang: gang,
             },
             expected: { reason: "noRoom", usable: 2, mostTakenBy: "x", keeper: gang.name },
         },
         {
-            name: "permits that ran out",
-            state: { permits: makePermits(NOW - 9_000), room: { ...ROOM, permittedPlaces: 0 } },
+            name: "expired permits",
+            state: { permits: makePermits(NOW - 9_000), capacity: { ...CAPACITY, permittedPlaces: 0 } },
             expected: { reason: "permitsExpired", questions: 1, places: 2 },
         },
         {
-            name: "permits that ran out and are asked for again",
+            name: "expired permits that have been requested again",
             state: {
-                permits: makeAsked(makePermits(NOW - 9_000), NOW - 500, "node-7"),
-                room: { ...ROOM, permittedPlaces: 0 },
+                permits: addRequest(makePermits(NOW - 9_000), NOW - 500, "node-7"),
+                capacity: { ...CAPACITY, permittedPlaces: 0 },
             },
             expected: { reason: "questionUnderWay", questions: 2, places: 2 },
         },
@@ -188,22 +191,22 @@
             expected: { reason: "ordersRefused", refusals: 17, refusal: "old", refusedBy: "w2" },
         },
         {
-            name: "a gang that keeps room",
-            state: { keeper: gang },
+            name: "a gang that reserves capacity",
+            state: { reservingGang: gang },
             expected: { reason: "gangKeepsRoom", keeper: gang.name },
         },
         {
-            name: "a task that waits after its losses",
+            name: "a task in backoff after its losses",
             state: { step: makeLostStep(3), isPaused: () => true },
             expected: { reason: "lossPause", losses: 3, crashes: 1 },
         },
         {
-            name: "a member of a gang that waits after its losses",
+            name: "a member of a gang in backoff after its losses",
             state: { step: makeLostStep(3, true), isPaused: ({ index }) => index === 0 },
             expected: { reason: "lossPause", losses: 3, crashes: 1 },
         },
         {
-            name: "a task that needs a worker for itself",
+            name: "a task that needs an idle worker to itself",
             state: { step: makeLostStep(2) },
             expected: { reason: "noIdleWorker", losses: 2, crashes: 1 },
         },
@@ -212,20 +215,20 @@
             state: { backlog: { steps: 30, probes: 4, workers: 3 } },
             expected: { reason: "probation", backlogSteps: 30, backlogProbes: 4, probationWorkers: 3 },
         },
-        { name: "steps that go first", state: {}, expected: { reason: "othersFirst" } },
+        { name: "steps that are ranked ahead", state: {}, expected: { reason: "othersFirst" } },
     ];
     for (const { name, state, expected } of cases) {
-        it(`names ${name}`, () => {
+        it(`reports ${name}`, () => {
             const { reason, fields } = findWaitCause({
                 step: makeLastStep(0, { taskCount: 2 }),
                 hasQueue: true,
                 storeAway: false,
                 mayOrder: true,
                 permits: undefined,
-                room: ROOM,
+                capacity: CAPACITY,
                 record: undefined,
                 backlog: undefined,
-                keeper: undefined,
+                reservingGang: undefined,
                 showRun: () => RUN,
                 isPaused: () => false,
                 now: NOW,
--- a/src/test/leader/waiting-report_test.ts
+++ b/src/test/leader/waiting-report_test.ts
@@ -1,4 +1,4 @@
-/** Lines about steps that wait for long: each cause shows its reason, and there are few of them. */
+/** Log lines about steps that wait for a long time: each states its reason, and their number is limited. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
@@ -15,14 +15,14 @@
 const OTHER_STEP = `${makeJobId(2)}.0.0`;
 const LONG_MS = 60_000;
 
-/** Fields of a line. */
+/** Fields of a log line. */
 type Fields = Readonly<Record<string, unknown>>;
 
 function listLines({ log }: TestLeader, event: string): readonly Fields[] {
     return log.lines.filter(line => line.event === event).map(line => line.fields);
 }
 
-/** Lines about one step. */
+/** Lists the fields of the `stepWaiting` lines about one step. */
 function listWaits(leader: TestLeader, step = STEP): readonly Fields[] {
     return listLines(leader, "stepWaiting").filter(fields => fields.step === step);
 }
@@ -37,7 +37,7 @@
     };
 }
 
-/** A node that answers each question in the same way; never, where no answer is given. */
+/** Makes a node that gives the same answer to each advice request; never answers if `answer` is undefined. */
 function makeCaller(answer: AdviceAnswer | undefined): AdviceCaller {
     return {
         nodeName: "node-7",
@@ -45,7 +45,7 @@
     };
 }
 
-/** Starts a leader over jobs of a queue that is gone, whose settings the journal of an earlier version does not have. */
+/** Starts a leader with open jobs of a removed queue whose settings an earlier version's journal lacks. */
 async function startWithOlderJournal(cell: LeaderCell, jobs: number): Promise<TestLeader> {
     const events = Array.from({ length: jobs }, (...[, index]): JobEvent => ({
         type: "accepted",
@@ -67,18 +67,18 @@
     });
 }
 
-/** How a step comes to wait, and what its first line has to say. */
+/** How a step comes to wait, and the expected fields of its first line. */
 interface WaitCase {
     readonly name: string;
-    /** Workers of 4 cores. */
+    /** Number of workers, of 4 cores each. */
     readonly workers: number;
-    /** Brings the wait about. */
+    /** Causes the wait. */
     readonly prepare: (cell: LeaderCell, leader: TestLeader) => Promise<void>;
     readonly step?: string;
     readonly expected: Fields;
 }
 
-/** A queue whose steps need permits, with one node that answers in the same way for ever. */
+/** Makes a case of a queue whose steps need permits, with at most one node that calls the advice service. */
 function makeAdviceCase(
     name: string,
     caller: AdviceCaller | undefined,
@@ -101,7 +101,7 @@
 
 const CASES: readonly WaitCase[] = [
     {
-        name: "an earlier step of which nothing runs",
+        name: "an earlier step that has not started",
         workers: 0,
         prepare: async (cell, leader) => {
             await cell.submit(leader, 1, makeSpec({}, { after: [0] }));
@@ -128,7 +128,7 @@
         expected: { reason: "noRoom", usable: 1, places: 0, mostTakenBy: OTHER_STEP, waiting: 2 },
     },
     {
-        name: "a gang that lacks room for some members",
+        name: "a lack of capacity for some members of a gang",
         workers: 2,
         prepare: async (cell, leader) => {
             setLongRuns(cell);
@@ -138,7 +138,7 @@
         expected: { reason: "noRoom", places: 7, waiting: 8, keeper: STEP },
     },
     {
-        name: "a gang that keeps the room it cannot use yet",
+        name: "a gang that reserves capacity it cannot use yet",
         workers: 2,
         prepare: async (cell, leader) => {
             setLongRuns(cell);
@@ -149,7 +149,7 @@
         expected: { reason: "gangKeepsRoom", keeper: `${makeJobId(3)}.0.0`, ahead: 1 },
     },
     {
-        name: "a worker that went silent with the run",
+        name: "a worker that stopped answering while it has the run",
         workers: 1,
         prepare: async (cell, leader) => {
             setLongRuns(cell);
@@ -184,7 +184,7 @@
         expected: { refusal: "unanswered", refusedBy: "w1" },
     },
     {
-        name: "a store that is away when room comes free",
+        name: "a store that is unavailable when capacity becomes free",
         workers: 1,
         prepare: async (cell, leader) => {
             cell.getBehavior = task => ({
@@ -200,7 +200,7 @@
         expected: { reason: "noPass", storeAway: true, mayOrder: true, waiting: 4, places: 4 },
     },
     {
-        name: "a store that does not take the assignment",
+        name: "a store that does not accept the assignment",
         workers: 1,
         prepare: async (cell, leader) => {
             await cell.submit(leader, 1, makeSpec({}, { after: [0] }));
@@ -210,28 +210,28 @@
         step: `${makeJobId(1)}.0.1`,
         expected: { reason: "assigned", place: "reserved", storeAway: true, mayOrder: true },
     },
-    makeAdviceCase("no node that can ask", undefined, {
+    makeAdviceCase("a node that can call the advice service", undefined, {
         reason: "questionWaiting",
         askedNode: undefined,
         questions: 1,
     }),
     makeAdviceCase(
-        "a question that takes long",
+        "an advice request that takes long",
         makeCaller(undefined),
         { reason: "questionUnderWay", askedNode: "node-7", questionWorkers: 1 },
         { ...ADVICE, decideMs: 10_000 },
     ),
-    makeAdviceCase("questions that are never answered", makeCaller(undefined), {
+    makeAdviceCase("advice requests that are never answered", makeCaller(undefined), {
         reason: "questionFailed",
         allowed: 0,
         denied: 0,
     }),
-    makeAdviceCase("questions that fail", makeCaller({ kind: "failed", message: "away" }), {
+    makeAdviceCase("advice requests that fail", makeCaller({ kind: "failed", message: "away" }), {
         reason: "questionFailed",
         allowed: 0,
         denied: 0,
     }),
-    makeAdviceCase("an answer that denies all", makeCaller({ kind: "done", permits: [] }), {
+    makeAdviceCase("an answer that denies all workers", makeCaller({ kind: "done", permits: [] }), {
         reason: "noneAllowed",
         asked: 1,
         allowed: 0,
@@ -240,11 +240,11 @@
     }),
 ];
 
-describe("a step that waits for long", () => {
+describe("a step that waits for a long time", () => {
     for (const { name, workers, prepare, step, expected } of CASES) {
-        it(`says that it waits for ${name}`, async () => {
-            // A job is accepted and stands still. Whoever is on call looks for its id in the lines and finds that nothing was
-            // decided about it, but not what it waits for.
+        it(`logs the wait for ${name}`, async () => {
+            // An accepted job stalls. The operator who searches the log for its id must find what it waits
+            // for, not only that nothing was decided about it.
             const cell = new LeaderCell(workers);
             const leader = await cell.startLeader();
             await cell.clock.step(200);
@@ -257,9 +257,9 @@
         });
     }
 
-    it("shows runs of an earlier leader on a worker that is not in the list", async () => {
-        // A worker's entry is gone when another node takes over. The tasks there are neither at work for the new leader nor
-        // started elsewhere until the worker's lease has surely run out.
+    it("reports runs of an earlier leader on a worker that is not in the list", async () => {
+        // A worker's entry is missing when another node takes over. Its tasks neither count as running for
+        // the new leader nor are started elsewhere until the worker's lease has surely expired.
         const cell = new LeaderCell(1);
         setLongRuns(cell);
         const first = await cell.startLeader();
@@ -277,7 +277,7 @@
         assert.equal(line.workerId, "w1");
     });
 
-    it("counts refused orders until a run begins", async () => {
+    it("counts refused orders until a run starts", async () => {
         const cell = new LeaderCell(1);
         const leader = await cell.startLeader();
         await cell.clock.step(200);
@@ -299,9 +299,10 @@
     });
 });
 
-describe("lines about waiting steps", () => {
-    it("are few however many steps wait, and the rest is counted", async () => {
-        // All workers are lost while much work waits. A line for each step would push other lines out of the log.
+describe("log lines about waiting steps", () => {
+    it("are limited however many steps wait, and the rest is counted", async () => {
+        // All workers are lost while many steps wait. A line for each step would crowd other lines out of the
+        // log.
         const cell = new LeaderCell(0);
         const leader = await cell.startLeader();
         for (let number = 1; number <= 40; number++) {
@@ -315,7 +316,7 @@
         assert.equal(named.size, 40);
     });
 
-    it("are not written while all goes well", async () => {
+    it("are not written in normal operation", async () => {
         const cell = new LeaderCell(3);
         const leader = await cell.startLeader();
         await cell.clock.step(200);
@@ -329,9 +330,9 @@
         assert.ok(states.every(state => state.waitingSteps === 0 && state.mayOrder === true));
     });
 
-    it("name a queue with open jobs once when nobody has its settings", async () => {
-        // An earlier version accepted jobs and recorded no settings; the operator has removed their queue since. They neither
-        // run nor end, and whoever is on call has to find out why.
+    it("name a queue with open jobs once if its settings are not available", async () => {
+        // An earlier version accepted jobs without recording the settings of their queue, which the operator
+        // has since removed. The jobs neither run nor end, and the log must state why.
         const cell = new LeaderCell(1);
         const leader = await startWithOlderJournal(cell, 2);
         await cell.clock.step(2_000);
--- a/src/test/leader/worker-faults_test.ts
+++ b/src/test/leader/worker-faults_test.ts
@@ -1,20 +1,20 @@
-/** Workers that are silent, cut off, reborn, or carry orders out late. */
+/** Workers that are silent, cut off, restarted, or carry out orders late. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { CORE, HOST, LeaderCell, makeJobId, makeSpec, QUEUE } from "./leader-cell.js";
 
-const FIRST = "10.0.0.1:80";
-/** A short job's slack: a lost answer must not use it up. */
+const FIRST_ADDRESS = "10.0.0.1:80";
+/** A short job's slack, which a lost answer must not use up. */
 const LOSS_LIMIT_MS = 500;
 
 describe("a leader whose workers fail", () => {
-    it("waits for an order without an answer before it starts the task elsewhere", async () => {
-        // A caller's task seems to hang for a second. The order to start it reaches its worker, the answer is lost,
-        // and the worker runs it. Cause of a double run: the task is given to another worker at once.
+    it("waits for the outcome of an unanswered order before it starts the task elsewhere", async () => {
+        // The order to start a task reaches its worker, which runs it, but the answer is lost. A leader that
+        // assigned the task to another worker at once would cause a double run.
         const cell = new LeaderCell(2);
         const leader = await cell.startLeader();
         await cell.clock.step(100);
-        leader.workers.getPath(FIRST).planNext({ kind: "dropAnswer" });
+        leader.workers.getPath(FIRST_ADDRESS).planNext({ kind: "dropAnswer" });
         leader.workers.getPath("10.0.0.2:80").planNext({ kind: "dropAnswer" });
         await cell.submit(leader, 1, makeSpec({}));
         await cell.clock.step(4_000);
@@ -24,13 +24,14 @@
     });
 
     for (const lost of [1, 2, 3]) {
-        it(`knows of an end soon though ${lost} of its requests in a row are lost`, async () => {
-            // Workers leave a few in a hundred calls unanswered. A task ends in time, but the request whose answer would
-            // say so is one of these: its caller reads "completed" a second and a half later, after the objective.
+        it(`learns of an end soon although ${lost} of its requests in a row are lost`, async () => {
+            // Workers leave a few percent of the calls unanswered. A task ends in time, but the answer that
+            // would report its end is lost, and its caller reads "completed" 1.5 s later, after the
+            // objective.
             const cell = new LeaderCell(1);
             const leader = await cell.startLeader();
             await cell.clock.step(100);
-            const path = leader.workers.getPath(FIRST);
+            const path = leader.workers.getPath(FIRST_ADDRESS);
             path.plan({ kind: "dropRequest" });
             await cell.clock.step(3_000);
             await cell.submit(leader, 1, makeSpec({}));
@@ -45,14 +46,14 @@
         });
     }
 
-    it("is not harmed by an order that is carried out seconds late", async () => {
-        // A task runs twice at once. Its order is held up for three seconds, the leader starts it elsewhere, and the
-        // first worker then begins it too. The order's own deadline on the worker's clock prevents it.
+    it("tolerates an order that arrives seconds late", async () => {
+        // An order is delayed for three seconds, the leader starts the task elsewhere, and the first worker
+        // would then start it too, a double run. The order's deadline on the worker's clock prevents it.
         const cell = new LeaderCell(2);
         cell.getBehavior = () => ({ demand: CORE, runMs: 6_000, end: "done" });
         const leader = await cell.startLeader();
         await cell.clock.step(100);
-        leader.workers.getPath(FIRST).plan({ kind: "delayRequest", ms: 3_000 }, {
+        leader.workers.getPath(FIRST_ADDRESS).plan({ kind: "delayRequest", ms: 3_000 }, {
             kind: "delayRequest",
             ms: 3_000,
         });
@@ -63,14 +64,14 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("starts a gang although one worker leaves an order unanswered", async () => {
-        // A large job waits although all workers have room. One of them does not answer the order for its member, the
-        // other members are stopped again, and by then others have taken the room.
+    it("starts a gang although one worker does not answer an order", async () => {
+        // A large job waits although all workers have capacity: one of them does not answer the order for its
+        // member, the other members are stopped again, and by then other jobs have taken the capacity.
         const cell = new LeaderCell(4);
         cell.getBehavior = () => ({ demand: { ...CORE, cpuMillis: 4_000 }, runMs: 1_000, end: "done" });
         const leader = await cell.startLeader();
         await cell.clock.step(100);
-        leader.workers.getPath(FIRST).planNext({ kind: "dropRequest" });
+        leader.workers.getPath(FIRST_ADDRESS).planNext({ kind: "dropRequest" });
         await cell.submit(
             leader,
             1,
@@ -82,15 +83,15 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("starts a gang's missing member elsewhere, in the run of the others", async () => {
-        // A worker cannot be reached any more when its member of a gang is ordered. Another worker has room; stopping
-        // the members that have started would throw their room away.
+    it("starts a gang's missing member on another worker, as part of the same run", async () => {
+        // A worker becomes unreachable before its member of a gang is ordered. Another worker has capacity;
+        // stopping the members that have started would give up theirs.
         const cell = new LeaderCell(5);
         cell.getBehavior = () => ({ demand: { ...CORE, cpuMillis: 4_000 }, runMs: 3_000, end: "done" });
         const leader = await cell.startLeader();
         await cell.clock.step(100);
         const refused = { kind: "refuseConnection" } as const;
-        leader.workers.getPath(FIRST).plan(refused, refused);
+        leader.workers.getPath(FIRST_ADDRESS).plan(refused, refused);
         await cell.submit(
             leader,
             1,
@@ -103,9 +104,9 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("makes room for an urgent gang by stopping work that saves its progress", async () => {
-        // Both workers are full of long tasks of a queue that goes last. A job of the first queue needs all of a worker
-        // twice; it came seconds late because nothing ended in time.
+    it("preempts work that saves checkpoints for an urgent gang", async () => {
+        // Both workers are full of long tasks of the less urgent queue. A job of the more urgent queue needs
+        // two whole workers; it was seconds late because nothing ended in time.
         const cell = new LeaderCell(2);
         const whole = { ...CORE, cpuMillis: 4_000 };
         cell.getBehavior = task => {
@@ -130,16 +131,16 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("stops a gang whose missing member finds no place in time", async () => {
-        // The only other worker is taken. Members that wait for the missing one for ever would keep their room from all
-        // others; after some time they are stopped, and the gang starts as a whole later.
+    it("stops a gang whose missing member cannot be placed in time", async () => {
+        // No other worker is free. Members that waited forever for the missing one would block their
+        // capacity; after some time they are stopped, and the whole gang starts later.
         const cell = new LeaderCell(4);
         const demand = { ...CORE, cpuMillis: 4_000 };
         cell.getBehavior = () => ({ demand, runMs: 8_000, end: "done" });
         const leader = await cell.startLeader();
         await cell.clock.step(100);
         const refused = { kind: "refuseConnection" } as const;
-        leader.workers.getPath(FIRST).plan(...Array.from({ length: 60 }, () => refused));
+        leader.workers.getPath(FIRST_ADDRESS).plan(...Array.from({ length: 60 }, () => refused));
         await cell.submit(leader, 1, makeSpec({ demand, taskCount: 4, isGang: true }));
         await cell.clock.step(4_000);
         assert.ok(leader.log.lines.some(line => line.event === "gangStopped"));
@@ -148,9 +149,9 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("runs the tasks of a worker that is cut off again only when its lease has run out", async () => {
-        // A worker is cut off and runs on. Its tasks must end there, by the lease, before they start elsewhere: a
-        // caller's paid run would run twice at the same time.
+    it("restarts the tasks of a worker that is cut off only after its lease has expired", async () => {
+        // A worker is cut off and keeps running. Its tasks must end there, by the lease, before they start
+        // elsewhere, or a caller's paid run would run twice at the same time.
         const cell = new LeaderCell(2);
         cell.getBehavior = () => ({ demand: CORE, runMs: 20_000, end: "done" });
         const leader = await cell.startLeader();
@@ -158,7 +159,7 @@
         await cell.submit(leader, 1, makeSpec({ taskCount: 8 }));
         await cell.clock.step(500);
         const before = cell.starts.length;
-        leader.workers.getPath(FIRST).faults.unreachable = true;
+        leader.workers.getPath(FIRST_ADDRESS).faults.unreachable = true;
         await cell.clock.step(3_500);
         assert.equal(cell.starts.length, before);
         cell.addWorker("w3", "10.0.0.3:80");
@@ -168,8 +169,8 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("takes a new life at a worker's address as the end of the earlier one", async () => {
-        // A worker's process crashes and starts again within a second. Its tasks are gone for sure, so they start
+    it("treats a new incarnation at a worker's address as the end of the previous one", async () => {
+        // A worker's process crashes and restarts within a second. Its tasks are surely gone, so they start
         // again at once and do not wait for the lease.
         const cell = new LeaderCell(1);
         cell.getBehavior = () => ({ demand: CORE, runMs: 20_000, end: "done" });
@@ -177,7 +178,7 @@
         await cell.clock.step(100);
         await cell.submit(leader, 1, makeSpec({ taskCount: 3 }));
         await cell.clock.step(500);
-        cell.addWorker("w9", FIRST);
+        cell.addWorker("w9", FIRST_ADDRESS);
         cell.removeFromList("w1");
         cell.refreshWorkers(leader);
         await cell.clock.step(2_000);
@@ -185,9 +186,9 @@
         assert.deepEqual(cell.faults, []);
     });
 
-    it("keeps new work from a worker that fails everything", async () => {
-        // A worker fails all that it starts within 20 ms, so it always has room, draws all work in, and jobs fail that
-        // could have been done.
+    it("avoids a worker that fails everything", async () => {
+        // A worker that fails every run within 20 ms always has free capacity and attracts all work, so that
+        // jobs fail that would have succeeded elsewhere.
         const cell = new LeaderCell(3);
         const failing = new Set(["w1"]);
         cell.getBehavior = (task, run) => {
@@ -211,9 +212,10 @@
 });
 
 describe("a leader whose store is slow", () => {
-    it("does not ask a worker again and again while an end becomes durable", async () => {
-        // The store takes a second to answer. A worker whose end may not be forgotten yet answers every request at
-        // once, and the leader used up its processor time with hundreds of them a second; all else became slow.
+    it("does not poll a worker in a tight loop while an end becomes durable", async () => {
+        // The store takes a second to answer. A worker with an end that is not acknowledged yet answers every
+        // report request at once, and the leader spent its processor time on hundreds of them a second, which
+        // slowed down everything else.
         const cell = new LeaderCell(1);
         const leader = await cell.startLeader();
         await cell.clock.step(100);
@@ -227,19 +229,19 @@
     });
 });
 
-describe("a leader that gets no orders through", () => {
-    it("stops the other members of a gang of which one could not be started", async () => {
-        // The members that run wait in vain for the one whose worker cannot be reached, and hold their room meanwhile.
+describe("a leader whose orders do not arrive", () => {
+    it("stops the other members of a gang if one could not be started", async () => {
+        // The running members wait in vain for the one whose worker is unreachable, and block capacity.
         const cell = new LeaderCell(2);
         cell.getBehavior = () => ({ demand: CORE, runMs: 20_000, end: "done" });
         const leader = await cell.startLeader();
         await cell.clock.step(100);
-        leader.workers.getPath(FIRST).planNext({ kind: "refuseConnection" });
+        leader.workers.getPath(FIRST_ADDRESS).planNext({ kind: "refuseConnection" });
         await cell.submit(leader, 1, makeSpec({ taskCount: 8, isGang: true }));
         await cell.clock.step(3_000);
         const runs = new Set(cell.starts.slice(-8).map(start => start.run));
         assert.equal(runs.size, 1);
-        assert.equal(cell.getModel(FIRST).listRunning().length, 4);
+        assert.equal(cell.getModel(FIRST_ADDRESS).listRunning().length, 4);
         assert.deepEqual(cell.faults, []);
     });
 });
--- a/src/test/leader/worker-health_test.ts
+++ b/src/test/leader/worker-health_test.ts
@@ -1,4 +1,4 @@
-/** Which workers are avoided because of what ended on them. */
+/** Which workers are avoided because of the outcomes of runs on them. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -10,7 +10,7 @@
 import { createFakeLog, createFakeMetrics } from "../fakes/fake-telemetry.js";
 import { makeJobId, makeSpec, makeWorkerRecord } from "./leader-cell.js";
 
-/** What ended: `d` for done, `f` for failed, on a worker, of a job, ordered at an instant. */
+/** The end of a run: `d` for done or `f` for failed, its worker, its job and the time of its order. */
 type End = readonly [outcome: "d" | "f", worker: number, job: number, orderedAt: number];
 
 function makeWorker(number: number): WorkerState {
@@ -50,14 +50,14 @@
             ends: [["f", 1, 0, 0], ["f", 1, 1, 0]],
             avoided: ["w1"],
         },
-        { name: "does not mind a single failure", ends: [["f", 1, 0, 0]], avoided: [] },
+        { name: "tolerates a single failure", ends: [["f", 1, 0, 0]], avoided: [] },
         {
-            name: "forgets failures before a run that began later and was done",
+            name: "forgets failures before a run that started later and was done",
             ends: [["f", 1, 0, 0], ["d", 1, 1, 150], ["f", 1, 2, 200]],
             avoided: [],
         },
         {
-            name: "is not misled by runs that began before the first failure",
+            name: "ignores successful runs that started before the first failure",
             ends: [["f", 1, 0, 0], ["d", 1, 1, 50], ["f", 1, 2, 100]],
             avoided: ["w1"],
         },
--- a/src/test/leader/worker-losses_test.ts
+++ b/src/test/leader/worker-losses_test.ts
@@ -1,4 +1,4 @@
-/** What follows for a task from the workers that it was lost with. */
+/** Consequences for a task of the workers that it was lost with. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -7,7 +7,10 @@
 import { computeLossBackoff, isCrasher, isSuspect } from "../../process/jobs/worker-losses.js";
 import { makeJobId, makeSpec } from "./leader-cell.js";
 
-/** Makes a task with losses: `c` for each worker that surely crashed, `s` for each that was only silent; capitals for late ones. */
+/**
+ * Makes a task with losses: `c` for each worker that surely crashed, `s` for each that was only silent; upper
+ * case if the loss was not early.
+ */
 function makeTask(losses: string): Task {
     const spec = makeSpec({});
     const job = buildJob({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec, at: 0 });
@@ -45,7 +48,7 @@
         { losses: "sssssssss", runsAlone: true, isGivenUp: false, pauseMs: 60_000 },
     ];
     for (const { losses, runsAlone, isGivenUp, pauseMs } of cases) {
-        it(`of kinds "${losses}" ${isGivenUp ? "condemn" : "do not condemn"} their task`, () => {
+        it(`of kinds "${losses}" ${isGivenUp ? "make" : "do not make"} the leader give up the task`, () => {
             const task = makeTask(losses);
             assert.equal(isSuspect(task), runsAlone);
             assert.equal(isCrasher(task), isGivenUp);
--- a/src/test/load/played-load.ts
+++ b/src/test/load/played-load.ts
@@ -121,10 +121,10 @@
     }
 
     /** Looks which jobs are over, as their callers do. */
-    private observeEnds({ book }: TestLeader, begin: Millis): void {
+    private observeEnds({ jobs }: TestLeader, begin: Millis): void {
         const now = this.cell.clock.now();
         for (const job of this.open) {
-            const found = book.get(makeJobId(job.number));
+            const found = jobs.get(makeJobId(job.number));
             if (found === undefined || found.endedAt === 0) {
                 continue;
             }
--- a/src/test/model/full-leader_test.ts
+++ b/src/test/model/full-leader_test.ts
@@ -1,4 +1,4 @@
-/** Leadership on small VMs while the leader's processor is full. */
+/** Leadership on small VMs while the leader's processor is saturated. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -6,7 +6,7 @@
 import type { VmSize } from "./model-vm.js";
 
 const STEP_MS: Millis = 100;
-/** A job's record, about as large as callers' jobs are. */
+/** A job payload of about the size that callers submit. */
 const PAYLOAD = "x".repeat(2_000);
 const JOBS_PER_SECOND = 10;
 const CALM_MS: Millis = 16_000;
@@ -19,7 +19,7 @@
     readonly seed: number;
     readonly nodes: number;
     readonly size: VmSize;
-    /** Processor time of each second that is taken from whoever leads while it is full. */
+    /** Processor time per second that is taken from the leader while it is saturated. */
     readonly takenMs: Millis;
 }
 
@@ -40,7 +40,7 @@
     },
 ];
 
-/** Moves time while jobs come in; returns for how much of it nobody led. */
+/** Advances time under a load of jobs; returns how long no node led. */
 async function play(cluster: ModelCluster, duration: Millis, takenMs = 0): Promise<Millis> {
     let vacantMs = 0;
     for (let at = 0; at < duration; at += STEP_MS) {
@@ -56,10 +56,10 @@
     return vacantMs;
 }
 
-describe("a leader whose processor is full for seconds", () => {
+describe("a leader whose processor is saturated for seconds", () => {
     for (const { name, seed, nodes, size, takenMs } of cases) {
-        // Guards against take-overs that replace each other before any of them has loaded the journal.
-        it(`leaves a cluster that is led again: VMs of ${name}`, async context => {
+        // Guards against leaders that replace each other before any of them has loaded the journal.
+        it(`does not leave the cluster without a leader: VMs of ${name}`, async context => {
             const cluster = new ModelCluster(seed);
             context.after(() => cluster.close());
             for (let node = 0; node < nodes; node++) {
--- a/src/test/model/large-config_test.ts
+++ b/src/test/model/large-config_test.ts
@@ -1,4 +1,4 @@
-/** A configuration that takes most of a second on the leader's link. */
+/** A configuration whose transfer takes most of a second on the leader's link. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
@@ -7,12 +7,12 @@
 const STEP_MS: Millis = 100;
 const NODES = 12;
 const QUEUES = 900;
-/** By how much later the leader's watch delivers it than the others'. */
+/** Delay of the delivery to the leader after the delivery to the other nodes. */
 const LEADER_DELAY_MS: Millis = 600;
 const BEFORE_MS: Millis = 6_000;
 const AFTER_MS: Millis = 12_000;
 
-/** Moves time while some jobs come in; returns for how much of it nobody led. */
+/** Advances time under a light load of jobs; returns how long no node led. */
 async function play(cluster: ModelCluster, duration: Millis): Promise<Millis> {
     let vacantMs = 0;
     for (let at = 0; at < duration; at += STEP_MS) {
@@ -25,9 +25,9 @@
     return vacantMs;
 }
 
-describe("a large configuration that all nodes hear of before their leader", () => {
-    // Guards against followers that fill the leader's link with copies of it until the leader is replaced.
-    it("does not cost the leader its place", async context => {
+describe("a large configuration that all other nodes receive before their leader", () => {
+    // Guards against followers that saturate the leader's link with copies until the leader is replaced.
+    it("does not cause a change of the leader", async context => {
         const cluster = new ModelCluster(3);
         context.after(() => cluster.close());
         for (let node = 0; node < NODES; node++) {
--- a/src/test/model/model-cluster.ts
+++ b/src/test/model/model-cluster.ts
@@ -1,4 +1,4 @@
-/** Nodes on VMs of a model, over one store: what they do takes processor time and bandwidth, in fake time. */
+/** A model of nodes on VMs over one store, in fake time, in which work takes processor time and bandwidth. */
 import type { Millis } from "../../common/clock.js";
 import { createRandom, makeUniqueId } from "../../common/random.js";
 import type { Random } from "../../common/random.js";
@@ -13,13 +13,13 @@
 import type { FakeLog } from "../fakes/fake-telemetry.js";
 import { HOST, makeJobId, makeSpec, PREFIX, QUEUE } from "../leader/leader-cell.js";
 import { ModelNetwork } from "./model-network.js";
-import { ModelStoreWay } from "./model-store-way.js";
+import { ModelStorePath } from "./model-store-path.js";
 import { ModelVm } from "./model-vm.js";
 import type { VmSize } from "./model-vm.js";
 
 const PORT = 7_720;
 const MAX_LEASE_MS: Millis = 10_000;
-const CALLER_PATIENCE_MS: Millis = 3_000;
+const CALLER_TIMEOUT_MS: Millis = 3_000;
 
 const CONFIG: ClusterConfig = {
     version: 1,
@@ -28,17 +28,17 @@
     maxBodyBytes: 262_144,
 };
 
-/** A node of the model. */
+/** A node of the model and its VM. */
 export interface ModelNode {
     readonly name: string;
     readonly vm: ModelVm;
     readonly node: ClusterNode;
     readonly log: FakeLog;
-    /** Delivers what the node's watch of the configuration brings. */
+    /** Delivers a configuration to the node as its watch does. */
     readonly deliverConfig: (config: ClusterConfig) => void;
 }
 
-/** The cluster; see the module comment. */
+/** Starts nodes on modeled VMs and puts them under load. */
 export class ModelCluster {
     readonly clock = new FakeClock();
     readonly nodes: ModelNode[] = [];
@@ -47,12 +47,12 @@
     private readonly random: Random;
     private jobs = 0;
 
-    /** @param seed - Of all that is random. */
+    /** @param seed - Seed of all random numbers. */
     constructor(seed: number) {
         this.random = createRandom(seed);
     }
 
-    /** Starts a node. */
+    /** Starts a node on a VM of the given size. */
     async startNode(size: VmSize): Promise<void> {
         const number = this.nodes.length + 1;
         const vm = new ModelVm(this.clock, size);
@@ -68,7 +68,7 @@
             metrics: createFakeMetrics(),
             random: this.random,
             incarnation: makeUniqueId(this.random),
-            storePort: new FakeStorePort(this.store, new ModelStoreWay(this.clock, vm)),
+            storePort: new FakeStorePort(this.store, new ModelStorePath(this.clock, vm)),
             config: new ConfigHolder(log),
             configSource: {
                 follow: handle => {
@@ -91,39 +91,39 @@
             cores: size.cores,
         });
         this.nodes.push({ name: `node-${number}`, vm, node, log, deliverConfig: config => accept(config) });
-        await this.clock.wait(node.open(), CALLER_PATIENCE_MS);
+        await this.clock.wait(node.open(), CALLER_TIMEOUT_MS);
     }
 
-    /** Returns the nodes that lead, and have loaded the journal, in the order of their claims. */
+    /** Returns the nodes that lead and have loaded the journal, in the order of their epochs. */
     listLeaders(): readonly ModelNode[] {
         return this.nodes
-            .filter(({ node, vm }) => vm.isOn() && isLeading(node))
+            .filter(({ node, vm }) => vm.isPoweredOn() && isLeading(node))
             .sort((left, right) => getEpoch(left.node) - getEpoch(right.node));
     }
 
-    /** Returns the node that leads, as the newest claim has it. */
+    /** Returns the leading node with the highest epoch; undefined if none leads. */
     getLeader(): ModelNode | undefined {
         return this.listLeaders().at(-1);
     }
 
     /**
-     * Hands a job in at some node and cancels it again, so that records are written while the state stays small.
-     * @param payload - What the job's record holds.
+     * Submits a job to a random node and cancels it, so that records are written while the state stays small.
+     * @param payload - Payload of the job, which determines the size of its record.
      */
     submitAndCancel(payload: string): void {
         this.jobs += 1;
         const address = { host: HOST, path: `${PREFIX}${makeJobId(this.jobs)}` };
-        const running = this.nodes.filter(({ vm }) => vm.isOn());
+        const running = this.nodes.filter(({ vm }) => vm.isPoweredOn());
         const entry = running[this.random.pickInt(running.length)];
         const spec = { ...makeSpec({}), payload };
-        void entry?.node.serve({ kind: "submit", ...address, spec }, CALLER_PATIENCE_MS)
-            .then(() => entry.node.serve({ kind: "cancel", ...address }, CALLER_PATIENCE_MS));
+        void entry?.node.serve({ kind: "submit", ...address, spec }, CALLER_TIMEOUT_MS)
+            .then(() => entry.node.serve({ kind: "cancel", ...address }, CALLER_TIMEOUT_MS));
     }
 
     /**
-     * Puts a large configuration in force: each node's watch delivers it, the leader's later than the others'.
-     * @param queueCount - Its queues.
-     * @param leaderDelayMs - By how much later.
+     * Delivers a large configuration to all nodes, to the leader later than to the others.
+     * @param queueCount - Number of queues added to the configuration.
+     * @param leaderDelayMs - Delay of the delivery to the leader.
      */
     publishConfig(queueCount: number, leaderDelayMs: Millis): void {
         const added = Array.from({ length: queueCount }, (_, index): QueueConfig => ({
@@ -137,7 +137,7 @@
         this.clock.schedule(leaderDelayMs, () => leader?.deliverConfig(config));
     }
 
-    /** Counts lines of all nodes' logs. */
+    /** Counts the log lines of an event over all nodes. */
     countLines(event: string): number {
         return this.nodes.reduce(
             (sum, { log }) => sum + log.lines.filter(line => line.event === event).length,
--- a/src/test/model/model-network.ts
+++ b/src/test/model/model-network.ts
@@ -1,10 +1,10 @@
-/** Byte streams between the VMs of a model. */
+/** Byte streams between modeled VMs. */
 import { EventEmitter } from "node:events";
 import { sleep } from "../../common/clock.js";
 import type { ConnectResult, LinkNetwork, LinkSocket } from "../../connection/link-network.js";
 import type { ModelVm } from "./model-vm.js";
 
-/** Bytes of a packet without content. */
+/** Size of a packet without payload. */
 const PACKET_BYTES = 60;
 
 /** One end of a stream. */
@@ -55,7 +55,7 @@
     }
 }
 
-/** The network; one for all VMs of a model. */
+/** The network that all VMs of a model share. */
 export class ModelNetwork {
     private readonly servers = new Map<
         string,
@@ -85,10 +85,10 @@
                     vm.receive(PACKET_BYTES, () => resolve({ kind: "refused" }));
                     return;
                 }
-                if (!server.vm.isOn()) {
+                if (!server.vm.isPoweredOn()) {
                     return;
                 }
-                // The kernel answers for a process that has no processor time.
+                // The kernel accepts connections even while the process gets no processor time.
                 const near = new ModelSocket(vm);
                 const far = new ModelSocket(server.vm);
                 near.other = far;
--- a/src/test/model/model-vm.ts
+++ b/src/test/model/model-vm.ts
@@ -1,23 +1,23 @@
-/** A VM of a model: one processor that does one thing at a time, and one link of a given bandwidth. */
+/** A modeled VM: one processor that runs one callback at a time, and one link of limited bandwidth. */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 
 /** Size of a VM. */
 export interface VmSize {
     /** Share of a core. */
     readonly cores: number;
-    /** Bandwidth of its link, each way. */
+    /** Bandwidth of its link in each direction. */
     readonly bytesPerMs: number;
 }
 
-/** Processor time, on a whole core, of anything that wakes the process. */
+/** Processor time, on a whole core, of any event that wakes the process. */
 const EVENT_COST_MS: Millis = 0.3;
-/** The same for each kilobyte that it reads. */
+/** Processor time, on a whole core, of each kilobyte that the process reads. */
 const KILOBYTE_COST_MS: Millis = 0.1;
 const BYTES_PER_KILOBYTE = 1_024;
-/** One way, between any two ends. */
+/** One-way latency between any two ends. */
 const LATENCY_MS: Millis = 1;
 
-/** The VM; see the module comment. As a {@link Clock} it is that of the process on it. */
+/** Models a VM. As a {@link Clock}, it is that of the VM's process: callbacks wait for processor time. */
 export class ModelVm implements Clock {
     private busyUntil: Millis = 0;
     private sendsUntil: Millis = 0;
@@ -25,8 +25,7 @@
     private isPowered = true;
 
     /**
-     * @param base - The clock of the whole model.
-     * @param size - Of the VM.
+     * @param base - Clock of the whole model.
      */
     constructor(private readonly base: Clock, readonly size: VmSize) {}
 
@@ -54,7 +53,10 @@
         };
     }
 
-    /** Runs a callback once everything before it has had its processor time. */
+    /**
+     * Runs a callback after all earlier work on the processor.
+     * @param bytes - Number of bytes that the callback reads, which cost processor time.
+     */
     run(bytes: number, callback: () => void): void {
         const cost = (EVENT_COST_MS + bytes / BYTES_PER_KILOBYTE * KILOBYTE_COST_MS) / this.size.cores;
         this.occupy(cost);
@@ -65,14 +67,14 @@
         });
     }
 
-    /** Keeps the processor from all else for a while. */
+    /** Keeps the processor busy for a duration. */
     occupy(duration: Millis): void {
         this.busyUntil = Math.max(this.busyUntil, this.base.now()) + duration;
     }
 
     /**
-     * Sends bytes out over the VM's link.
-     * @param handleArrival - Called when the last byte has left the link and crossed the network.
+     * Sends bytes over the VM's link.
+     * @param handleArrival - Called when the last byte has crossed the network.
      */
     send(bytes: number, handleArrival: () => void): void {
         if (!this.isPowered) {
@@ -85,7 +87,7 @@
 
     /**
      * Receives bytes over the VM's link.
-     * @param handleData - Called by the process once they are through the link and it comes to them.
+     * @param handleData - Called in the process once the bytes have arrived and it has processor time.
      */
     receive(bytes: number, handleData: () => void): void {
         const now = this.base.now();
@@ -93,13 +95,13 @@
         this.base.schedule(this.receivesUntil - now, () => this.run(bytes, handleData));
     }
 
-    /** Loses power: nothing more is done, sent or heard. */
+    /** Loses power: from now on the VM neither runs, sends nor receives anything. */
     losePower(): void {
         this.isPowered = false;
     }
 
-    /** Tells whether it has power. */
-    isOn(): boolean {
+    /** Returns whether the VM has power. */
+    isPoweredOn(): boolean {
         return this.isPowered;
     }
 }
