--- /dev/null
+++ b/src/process/dispatch/advice-dispatcher.ts
@@ -0,0 +1,383 @@
+/**
+ * Distributes requests to the advice service over the cluster's nodes.
+ *
+ * @remarks The service serves one call at a time for each calling VM, and all requests together take more
+ * time than there is, so a single caller would fall behind forever; with every node calling there is time to
+ * spare. While there are short requests some nodes are reserved for them, as otherwise quick jobs wait behind
+ * a request that takes longer than their whole slack.
+ */
+import type { Clock, Millis, Timer } from "../../common/clock.js";
+import type { AdvicePolicy } from "../../version/cluster-config.js";
+import type { AdviceAnswer } from "../ports/task-worker-port.js";
+import type { Log } from "../telemetry.js";
+import { LoadMeter } from "./load-meter.js";
+
+/** A node that can call the advice service. */
+export interface AdviceCaller {
+    readonly nodeName: string;
+    /** Should settle within the timeout; {@link AdviceDispatcher} handles callers that do not. */
+    requestPermits(step: string, workerIds: readonly string[], timeout: Millis): Promise<AdviceAnswer>;
+}
+
+/** A request that waits or is in flight. */
+export interface AdviceRequest {
+    readonly step: string;
+    readonly workerIds: readonly string[];
+    readonly policy: AdvicePolicy;
+    /** Priority of its queue; 0 goes first. */
+    readonly priority: number;
+    /** Whether its step could probably start once it is answered. */
+    readonly hasCapacity: boolean;
+    /** When its step first wanted the answer. */
+    readonly since: Millis;
+    /** Whether its step has had no answer yet: such requests go before renewals. */
+    readonly isFirst: boolean;
+    /** Whether the answer is still wanted; asked before the request is sent. */
+    readonly isWanted: () => boolean;
+    /** Called when a node sends it. */
+    readonly handleSent: (nodeName: string) => void;
+    /** Called once; `askedAt` is when it was sent. The answer is undefined if it was never sent. */
+    readonly settle: (answer: AdviceAnswer | undefined, askedAt: Millis) => void;
+}
+
+/** Longer requests are not sent by the nodes reserved for short ones. */
+const SHORT_REQUEST_MS: Millis = 120;
+/** Requests up to this long may be sent by a reserved node once they have waited too long. */
+const BRIEF_REQUEST_MS: Millis = 250;
+/** Largest share of the nodes that is reserved for short requests, where there are at least two nodes. */
+const SHORT_SHARE = 0.34;
+/** Most nodes that are reserved. */
+const MAX_RESERVED_NODES = 8;
+/** Nodes reserved for each one that short requests keep busy, as these arrive unevenly. */
+const RESERVED_PER_BUSY_NODE = 2;
+/**
+ * With this many nodes one stays reserved for a while after each short request; with fewer none can be spared
+ * for that.
+ */
+const MIN_NODES_TO_RESERVE = 3;
+const SHORT_REQUEST_MEMORY_MS: Millis = 10_000;
+/** Least load of short requests, in busy nodes, for which a node is reserved where none can be spared. */
+const MIN_SHORT_LOAD = 0.02;
+/** Wait of a request after which its queue gets a share of the nodes' time. */
+const LATE_REQUEST_MS: Millis = 1_000;
+/** A request that no node could send for this long shows that the nodes are overloaded. */
+const OVERLOAD_WAIT_MS: Millis = 3_000;
+/** How long an overload counts: it does not end with the first request that is sent. */
+const OVERLOAD_MEMORY_MS: Millis = 5_000;
+/** Key of the share of the nodes' time that requests of steps without free capacity get. */
+const NO_CAPACITY = "noRoom";
+/** Requests in flight on one node: the second is in transit while the first is answered. */
+const MAX_IN_FLIGHT = 2;
+/** Timeout of a request: its expected time and that of those before it times the factor, plus the margin. */
+const TIMEOUT_FACTOR = 2;
+const TIMEOUT_MARGIN_MS: Millis = 600;
+/** Time for a caller to report that its timeout has passed. */
+const SILENCE_MARGIN_MS: Millis = 200;
+
+/**
+ * A node whose request failed is chosen last for this long, as it may be cut off from the service. The time
+ * doubles with each further failure up to the maximum.
+ *
+ * @remarks The nodes that reach the service are always busy, so nodes that do not reach it seem free first.
+ * If two of them paused for a constant time, a request that failed at one would move to the other just when
+ * its pause had ended, and back, for as long as there is other work. With growing pauses it gets to a node
+ * that reaches the service.
+ */
+const MIN_FAILURE_BACKOFF_MS: Millis = 1_000;
+const MAX_FAILURE_BACKOFF_MS: Millis = 8_000;
+
+interface CallerState {
+    readonly caller: AdviceCaller;
+    inFlightCount: number;
+    /** Expected time of its requests in flight, by the policy's figures. */
+    inFlightMs: Millis;
+    /** When its requests in flight should be answered, by the policy's figures. */
+    busyUntil: Millis;
+    /** Until when it is chosen last. Not part of `busyUntil`, from which timeouts count. */
+    backoffUntil: Millis;
+    /** Requests that failed since the last answer. */
+    failures: number;
+}
+
+/**
+ * Owner of a share of the nodes' time: a queue, by its priority, or the steps of all queues that have no free
+ * capacity.
+ */
+type ShareKey = number | typeof NO_CAPACITY;
+
+/** Returns how long the service takes for a request, by the policy's figures. */
+function estimateRequestMs({ policy, workerIds }: AdviceRequest): Millis {
+    return policy.decideMs + policy.perWorkerMs * workerIds.length;
+}
+
+function getShareKey({ priority, hasCapacity }: AdviceRequest): ShareKey {
+    return hasCapacity ? priority : NO_CAPACITY;
+}
+
+function compareRequests(left: AdviceRequest, right: AdviceRequest): number {
+    return Number(right.hasCapacity) - Number(left.hasCapacity) ||
+        left.priority - right.priority ||
+        Number(right.isFirst) - Number(left.isFirst) ||
+        estimateRequestMs(left) - estimateRequestMs(right);
+}
+
+/** Returns when a node can be chosen, by the policy's figures and its failures. */
+function getFreeAt({ busyUntil, backoffUntil: pausedUntil }: CallerState): Millis {
+    return Math.max(busyUntil, pausedUntil);
+}
+
+/**
+ * Distributes the requests of one leader.
+ *
+ * @remarks A caller may throw or never answer. A step has one request at a time, so one that is never settled
+ * would keep it from making others, and its tasks would stand still beside empty workers. Every request is
+ * therefore settled within its timeout, as failed if necessary, whatever the caller does.
+ */
+export class AdviceDispatcher {
+    private readonly callers = new Map<string, CallerState>();
+    private waiting: readonly AdviceRequest[] = [];
+    /** Number of nodes that the requests of each share keep busy. */
+    private readonly shareLoads = new Map<ShareKey, LoadMeter>();
+    /** Number of nodes that short requests keep busy. */
+    private readonly shortLoad: LoadMeter;
+    /** When a request was last found that no node could send for long. */
+    private lastOverloadAt: Millis = -Infinity;
+    /** When a short request was last sent. */
+    private lastShortRequestAt: Millis = -Infinity;
+
+    /** @param log - Logs callers that throw or do not answer. */
+    constructor(private readonly clock: Clock, private readonly log: Log) {
+        this.shortLoad = new LoadMeter(clock);
+    }
+
+    /** Adds a node that can send requests. */
+    addCaller(caller: AdviceCaller): void {
+        this.callers.set(caller.nodeName, {
+            caller,
+            inFlightCount: 0,
+            inFlightMs: 0,
+            busyUntil: 0,
+            backoffUntil: 0,
+            failures: 0,
+        });
+        this.dispatch();
+    }
+
+    /** Removes a node; its requests in flight settle by themselves. */
+    removeCaller(nodeName: string): void {
+        this.callers.delete(nodeName);
+    }
+
+    /**
+     * Replaces the waiting requests. Those whose steps could start once answered go first, then by the
+     * queue's priority, then steps that have had no answer, then short requests.
+     *
+     * @remarks If short requests went first regardless of their queue, all jobs of the last queue would be in
+     * time with slack to spare, and would fill the capacity that large gangs of the queue before it need.
+     *
+     * A queue with a high priority may make requests as fast as the nodes send them. The queues behind it
+     * would wait for as long as that lasts although their tasks fit beside everything, so each queue gets a
+     * share of the nodes' time.
+     */
+    replaceWaiting(requests: readonly AdviceRequest[]): void {
+        this.waiting = [...requests].sort(compareRequests);
+        this.dispatch();
+    }
+
+    /** Tells whether the nodes could not send all requests lately. */
+    isOverloaded(): boolean {
+        return this.clock.now() - this.lastOverloadAt < OVERLOAD_MEMORY_MS;
+    }
+
+    /** Counts requests that no node has been given yet. */
+    countWaiting(): number {
+        return this.waiting.length;
+    }
+
+    private dispatch(): void {
+        const unwanted: AdviceRequest[] = [];
+        const unsent: AdviceRequest[] = [];
+        const late = this.chooseLateRequests();
+        const others = this.waiting.filter(request => !late.includes(request));
+        for (const request of [...late, ...others]) {
+            const state = request.isWanted() ?
+                this.chooseCaller(request, late.includes(request)) :
+                undefined;
+            if (!request.isWanted()) {
+                unwanted.push(request);
+            }
+            else if (state === undefined) {
+                unsent.push(request);
+            }
+            else {
+                void this.send(state, request);
+            }
+        }
+        this.waiting = unsent.sort(compareRequests);
+        const now = this.clock.now();
+        if (unsent.some(({ since }) => now - since >= OVERLOAD_WAIT_MS)) {
+            this.lastOverloadAt = now;
+        }
+        unwanted.forEach(request => request.settle(undefined, 0));
+    }
+
+    /**
+     * Chooses the longest waiting request of each share if it has waited too long and the share has had less
+     * than its part of the nodes' time; the share with the least load first.
+     *
+     * @remarks A gang may get capacity only by preempting less urgent runs, and nothing is preempted before
+     * it is known which workers may run the gang. If requests without free capacity were sent only while no
+     * other waits, the gang would wait for as long as work arrives that has free capacity.
+     *
+     * A queue with more requests than the nodes can send always has a late one. If that went first regardless
+     * of what the queue has had, each request of the queues before it would wait until it is late itself.
+     */
+    private chooseLateRequests(): readonly AdviceRequest[] {
+        const now = this.clock.now();
+        const longest = new Map<ShareKey, AdviceRequest>();
+        for (const request of this.waiting) {
+            const key = getShareKey(request);
+            if (request.since < (longest.get(key)?.since ?? Infinity)) {
+                longest.set(key, request);
+            }
+        }
+        const fairLoad = this.callers.size / Math.max(1, longest.size);
+        return [...longest.values()]
+            .filter(request =>
+                now - request.since >= LATE_REQUEST_MS && this.getRequestLoad(request) < fairLoad
+            )
+            .sort((left, right) => this.getRequestLoad(left) - this.getRequestLoad(right));
+    }
+
+    private getRequestLoad(request: AdviceRequest): number {
+        return this.getShareLoad(getShareKey(request)).compute();
+    }
+
+    private getShareLoad(key: ShareKey): LoadMeter {
+        const known = this.shareLoads.get(key);
+        if (known !== undefined) {
+            return known;
+        }
+        const created = new LoadMeter(this.clock);
+        this.shareLoads.set(key, created);
+        return created;
+    }
+
+    /**
+     * Counts the nodes reserved for short requests, by how busy these keep them.
+     *
+     * @remarks Where short requests are rare, the load alone would reserve no node, and the next one would
+     * wait behind a long request for longer than a quick job's whole slack. One node therefore stays reserved
+     * for a while.
+     */
+    private countReserved(): number {
+        const nodes = this.callers.size;
+        const load = this.shortLoad.compute();
+        const canSpareOne = nodes >= MIN_NODES_TO_RESERVE &&
+            this.clock.now() - this.lastShortRequestAt < SHORT_REQUEST_MEMORY_MS;
+        if (nodes < 2 || load < MIN_SHORT_LOAD) {
+            return canSpareOne ? 1 : 0;
+        }
+        return Math.min(
+            MAX_RESERVED_NODES,
+            Math.ceil(nodes * SHORT_SHARE),
+            Math.ceil(load * RESERVED_PER_BUSY_NODE),
+        );
+    }
+
+    private observeSent(request: AdviceRequest, expectedMs: Millis): void {
+        this.getShareLoad(getShareKey(request)).add(expectedMs);
+        if (expectedMs <= SHORT_REQUEST_MS) {
+            this.shortLoad.add(expectedMs);
+            this.lastShortRequestAt = this.clock.now();
+        }
+    }
+
+    /**
+     * Chooses the node that is free first; none for a long request while only reserved nodes are free.
+     *
+     * @remarks If the few nodes that may send long requests are cut off from the service, every long request
+     * fails there while the reserved nodes are idle, so these take long requests too then.
+     *
+     * A node with two short requests in flight gets the next short one as soon as one is answered. While
+     * short requests keep coming no node would ever be without one and no long request would be sent, so one
+     * that has waited too long is sent beside a short one.
+     */
+    private chooseCaller(request: AdviceRequest, isLate: boolean): CallerState | undefined {
+        const states = [...this.callers.values()];
+        const reserved = this.countReserved();
+        const isShort = estimateRequestMs(request) <= SHORT_REQUEST_MS;
+        // A quick job's slack allows for a brief request in front of its own.
+        const isLateAndBrief = isLate && estimateRequestMs(request) <= BRIEF_REQUEST_MS;
+        const usual = isShort || isLateAndBrief ? states : states.slice(reserved);
+        const now = this.clock.now();
+        const eligible = usual.some(state => now >= state.backoffUntil) ? usual : states;
+        let best: CallerState | undefined;
+        for (const state of eligible) {
+            const isBesideShort = isLate && state.inFlightMs <= SHORT_REQUEST_MS;
+            const limit = isShort || isBesideShort ? MAX_IN_FLIGHT : 1;
+            if (state.inFlightCount < limit && (best === undefined || getFreeAt(state) < getFreeAt(best))) {
+                best = state;
+            }
+        }
+        return best;
+    }
+
+    private observeAnswer(state: CallerState, answer: AdviceAnswer): void {
+        const now = this.clock.now();
+        if (answer.kind === "done") {
+            state.failures = 0;
+            state.backoffUntil = 0;
+            // A service that is faster than its figures must not push the estimate ahead with each answer.
+            // Timeouts count from there, and one lost answer would delay its step for minutes.
+            state.busyUntil = Math.min(state.busyUntil, now + state.inFlightMs);
+            return;
+        }
+        const backoffMs = Math.min(MAX_FAILURE_BACKOFF_MS, MIN_FAILURE_BACKOFF_MS * 2 ** state.failures);
+        state.failures += 1;
+        state.backoffUntil = now + backoffMs;
+        // How much of its expected time is left is unknown.
+        state.busyUntil = now;
+    }
+
+    private async send(state: CallerState, request: AdviceRequest): Promise<void> {
+        const askedAt = this.clock.now();
+        const expectedMs = estimateRequestMs(request);
+        const startAt = Math.max(askedAt, state.busyUntil);
+        state.inFlightCount += 1;
+        state.inFlightMs += expectedMs;
+        state.busyUntil = startAt + expectedMs;
+        this.observeSent(request, expectedMs);
+        request.handleSent(state.caller.nodeName);
+        const timeout = (startAt - askedAt + expectedMs) * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS;
+        const answer = await this.requestAnswer(state.caller, request, timeout);
+        state.inFlightCount -= 1;
+        state.inFlightMs -= expectedMs;
+        this.observeAnswer(state, answer);
+        request.settle(answer, askedAt);
+        this.dispatch();
+    }
+
+    private async requestAnswer(
+        caller: AdviceCaller,
+        { step, workerIds }: AdviceRequest,
+        timeout: Millis,
+    ): Promise<AdviceAnswer> {
+        const limit = timeout + SILENCE_MARGIN_MS;
+        let timer: Timer | undefined;
+        const silence = new Promise<never>((...[, reject]) => {
+            timer = this.clock.schedule(limit, () => reject(new Error(`no answer within ${limit} ms`)));
+        });
+        try {
+            return await Promise.race([caller.requestPermits(step, workerIds, timeout), silence]);
+        }
+        catch (error) {
+            const message = error instanceof Error ? error.message : String(error);
+            this.log.warn("CR1619", "adviceCallerFailed", { step, nodeName: caller.nodeName, message });
+            return { kind: "failed", message };
+        }
+        finally {
+            timer?.cancel();
+        }
+    }
+}
--- a/src/process/dispatch/room-claims.ts
+++ b/src/process/dispatch/capacity-claims.ts
@@ -1,8 +1,9 @@
 /**
- * Room that steps will probably take once their questions to the advice service are answered.
+ * Capacity that steps will probably use once their requests to the advice service are answered.
  *
- * @remarks The load this answers: large gangs that arrive several times a second while each waits a second for its
- * answer. All of them asked about the same emptiest workers, and all but the first found them full.
+ * @remarks Large gangs may arrive several times a second while each waits a second for its answer. Without
+ * claims they would all request permits for the same emptiest workers, and all but the first would find them
+ * full.
  */
 import type { Step } from "../jobs/job.js";
 
@@ -12,12 +13,14 @@
     readonly cpuMillis: number;
 }
 
-/** Claims of questions under way. */
-export class RoomClaims {
+/** Claims of the requests in flight. */
+export class CapacityClaims {
     private readonly claims = new Map<Step, Claim>();
     private readonly claimed = new Map<string, number>();
 
-    /** Takes in a question: the step's tasks will be spread over the workers that it names. */
+    /**
+     * Adds the claim of a request: the step's waiting tasks, spread evenly over the workers that it names.
+     */
     add(step: Step, workerIds: readonly string[]): void {
         this.remove(step);
         const cpuMillis = step.spec.demand.cpuMillis * step.waiting / Math.max(1, workerIds.length);
@@ -25,21 +28,21 @@
         workerIds.forEach(workerId => this.updateSum(workerId, cpuMillis));
     }
 
-    /** Takes in that a question is settled. */
+    /** Removes the claim of a settled request. */
     remove(step: Step): void {
         const claim = this.claims.get(step);
         this.claims.delete(step);
         claim?.workerIds.forEach(workerId => this.updateSum(workerId, -claim.cpuMillis));
     }
 
-    /** Returns what is claimed of a worker's processors, in thousandths. */
+    /** Returns how much of a worker's processors is claimed, in thousandths. */
     getCpu(workerId: string): number {
         return this.claimed.get(workerId) ?? 0;
     }
 
     private updateSum(workerId: string, cpuMillis: number): void {
         const sum = this.getCpu(workerId) + cpuMillis;
-        // Sums of fractions miss zero by a little.
+        // Sums of fractions miss zero by rounding errors.
         if (sum < 1) {
             this.claimed.delete(workerId);
         }
--- a/src/process/dispatch/crash-risk.ts
+++ b/src/process/dispatch/crash-risk.ts
@@ -1,51 +1,57 @@
 /**
- * Estimates, by queue, how many of the tasks that start crash their workers. Pure.
+ * Estimates for each queue the share of starting tasks that crash their workers.
  *
- * @remarks Failure guarded against: each of many tasks of one queue takes down several workers before it is known, and with
- * them whatever ran there. What crashes say together tells of the queue's next tasks before they have run.
+ * @remarks Many tasks of one queue may crash their workers. Each would take down several workers, with
+ * whatever runs there, before it is identified by itself. The queue's crashes taken together predict the
+ * behavior of its further tasks before they have run.
  */
 import type { Millis } from "../../common/clock.js";
 
-/** A run that was on a worker when that was lost. */
-export interface LostStart {
+/** A run that was on a worker when the worker was lost. */
+export interface RunAtLoss {
     readonly queue: string;
-    /** For how long it had surely been at work. */
+    /** How long it had certainly been running. */
     readonly provenMs: Millis;
-    /** Whether little else was to be expected of its task, so that this loss says little of others. */
+    /**
+     * Whether its task was already suspected of crashing workers, so that this loss says little about other
+     * tasks.
+     */
     readonly isSuspect: boolean;
 }
 
-/** Time over which starts and crashes are counted. */
+/** Window over which starts and crashes are counted. */
 const WINDOW_MS: Millis = 10_000;
-/** Time over which the rate is counted that decides how fast new tasks start. */
+/** Window of the recent rate, which decides how fast new tasks start. */
 const RECENT_MS: Millis = 4_000;
 const BUCKET_MS: Millis = 1_000;
-/** A worker that crashed is away for about this long. */
-const AWAY_MS: Millis = 4_000;
-/** A run that had been at work for this long is half as likely to have caused a crash as one that had just begun. */
-const HALF_BLAME_MS: Millis = 100;
-/** Weight of a run that may have caused a crash by itself. */
+/** Time that a crashed worker takes to come back, approximately. */
+const RESTART_TIME_MS: Millis = 4_000;
+/** Age at which a run is half as likely to have caused a crash as one that has just started. */
+const HALF_BLAME_AGE_MS: Millis = 100;
+/** Least weight of a run that may have caused a crash by itself. */
 const LIKELY_WEIGHT = 1 / 2;
-/** Crashes without which nothing is held against a queue. */
+/** Least number of crashes for which a queue is listed as risky. */
 const MIN_CRASHES = 3;
-/** Share of a queue's starts that must have ended in a crash. */
+/** Least share of a queue's starts that must have ended in a crash. */
 const MIN_RATE = 0.005;
-/** Starts that are added to those counted, so that few starts prove little. */
+/** Added to the number of starts, so that few starts prove little. */
 const PRIOR_STARTS = 20;
-/** Time for which late work keeps a queue on probation after the last worker that surely crashed. */
-const CONFIRMED_MS: Millis = 30_000;
-/** Rate at which a run must go on for the longest time before its worker is trusted with another one. */
+/** How long after the last confirmed crash late work keeps a queue on probation. */
+const CONFIRMED_CRASH_MEMORY_MS: Millis = 30_000;
+/**
+ * Crash rate from which a run must have gone on for {@link MAX_PROOF_MS} before its worker gets another one.
+ */
 const HIGH_RATE = 0.05;
-const LONGEST_PROOF_MS: Millis = 500;
-const SHORTEST_PROOF_MS: Millis = 100;
+const MAX_PROOF_MS: Millis = 500;
+const MIN_PROOF_MS: Millis = 100;
 
-/** What a queue's starts have led to lately. */
+/** Recent starts and crashes of a queue. */
 export interface QueueRisk {
     readonly starts: number;
     readonly crashes: number;
-    /** Crashes for each start. */
+    /** Crashes per start. */
     readonly rate: number;
-    /** The same of the last few seconds. */
+    /** Crashes per start over the last few seconds. */
     readonly recentRate: number;
 }
 
@@ -53,9 +59,9 @@
     readonly workerId: string;
     readonly pool: string;
     readonly at: Millis;
-    /** Share of each queue; none where a suspect explains the crash. */
+    /** Each queue's share of the blame; empty if a suspect explains the crash. */
     readonly blame: ReadonlyMap<string, number>;
-    /** Queues of what had just started. */
+    /** Queues of the runs that had just started. */
     readonly queues: ReadonlySet<string>;
 }
 
@@ -64,15 +70,15 @@
     readonly starts: Map<string, number>;
 }
 
-/** The estimates; see the module comment. */
+/** Crash estimates of all queues. */
 export class CrashRisk {
     private buckets: Bucket[] = [];
     private crashes: Crash[] = [];
     private risky: ReadonlyMap<string, QueueRisk> = new Map();
-    /** When each queue's last worker was lost that surely crashed. */
+    /** Time of each queue's last confirmed crash. */
     private readonly confirmedAt = new Map<string, Millis>();
 
-    /** Counts a run that a worker has begun. */
+    /** Counts a run that has started. */
     observeStart(queue: string, now: Millis): void {
         const last = this.buckets.at(-1);
         const bucket = last !== undefined && now - last.at < BUCKET_MS ?
@@ -87,13 +93,13 @@
     /**
      * Records that a worker was lost.
      * @param worker - The worker and its pool.
-     * @param runs - What ran there.
+     * @param runs - The runs on it.
      * @param now - When the loss became known.
-     * @returns Whether the loss is blamed on what had just started.
+     * @returns Whether the loss is attributed to runs that had just started.
      */
     observeLoss(
         { workerId, pool }: { readonly workerId: string; readonly pool: string; },
-        runs: readonly LostStart[],
+        runs: readonly RunAtLoss[],
         now: Millis,
     ): boolean {
         if (this.crashes.some(crash => crash.workerId === workerId)) {
@@ -110,46 +116,47 @@
         return true;
     }
 
-    /** Records that a worker surely crashed. */
+    /** Records that a worker certainly crashed. */
     confirm(workerId: string): void {
         for (const crash of this.crashes.filter(other => other.workerId === workerId)) {
             crash.queues.forEach(queue => this.confirmedAt.set(queue, crash.at));
         }
     }
 
-    /** Withdraws the loss of a worker that goes on. */
+    /** Withdraws the loss of a worker that turned out to be running. */
     withdraw(workerId: string): void {
         this.crashes = this.crashes.filter(crash => crash.workerId !== workerId);
     }
 
     /**
-     * Counts the workers of a pool that are probably away because a task crashed them.
-     * @param pool - The pool.
-     * @param isExplained - Whether the crashes are meant that a suspect explains, or all others.
-     * @param now - On our clock.
+     * Counts the workers of a pool that are probably still down because a task crashed them.
+     * @param isExplained - Whether to count the crashes that a suspect explains, or all others.
+     * @param now - On the leader's clock.
      */
-    countAway(pool: string, isExplained: boolean, now: Millis): number {
+    countCrashed(pool: string, isExplained: boolean, now: Millis): number {
         return this.crashes.filter(crash =>
-            crash.pool === pool && now - crash.at < AWAY_MS && (crash.blame.size === 0) === isExplained
+            crash.pool === pool && now - crash.at < RESTART_TIME_MS &&
+            (crash.blame.size === 0) === isExplained
         ).length;
     }
 
     /**
-     * Lists the queues whose tasks crash workers. One that was listed stays so until nothing just started on any worker that
-     * was lost lately, and nothing unproven waits.
-     * @param now - On our clock.
-     * @param hasProbes - Tells whether a queue's late work, or what has probably crashed a worker, waits.
+     * Lists the queues whose tasks crash workers. A listed queue stays listed while a run of it had just
+     * started on any worker lost lately, or while unproven work of it waits after a confirmed crash.
+     * @param now - On the leader's clock.
+     * @param hasProbes - Tells whether a queue has waiting work that is late or has probably crashed a
+     * worker.
      */
     listRisky(now: Millis, hasProbes: (queue: string) => boolean): ReadonlyMap<string, QueueRisk> {
         this.forgetOld(now);
         const risky = new Map<string, QueueRisk>();
-        const concerned = new Set(this.crashes.flatMap(({ queues }) => [...queues]));
-        for (const queue of new Set([...concerned, ...this.risky.keys()])) {
+        const implicated = new Set(this.crashes.flatMap(({ queues }) => [...queues]));
+        for (const queue of new Set([...implicated, ...this.risky.keys()])) {
             const risk = this.computeRisk(queue, now);
             const isNew = risk.crashes >= MIN_CRASHES && risk.rate >= MIN_RATE;
-            const isConfirmed = now - (this.confirmedAt.get(queue) ?? -Infinity) < CONFIRMED_MS;
-            const isLeft = concerned.has(queue) || isConfirmed && hasProbes(queue);
-            if (isNew || this.risky.has(queue) && isLeft) {
+            const isConfirmed = now - (this.confirmedAt.get(queue) ?? -Infinity) < CONFIRMED_CRASH_MEMORY_MS;
+            const isStillListed = implicated.has(queue) || isConfirmed && hasProbes(queue);
+            if (isNew || this.risky.has(queue) && isStillListed) {
                 risky.set(queue, risk);
             }
         }
@@ -183,18 +190,18 @@
     }
 }
 
-/** Computes for how long a run of a queue must have gone on before tasks of other steps start beside it. */
+/** Computes how long a run of a queue must have gone on before tasks of other steps may start beside it. */
 export function computeProofMs({ recentRate }: QueueRisk): Millis {
     const share = Math.min(1, recentRate / HIGH_RATE);
-    return Math.max(SHORTEST_PROOF_MS, share * LONGEST_PROOF_MS);
+    return Math.max(MIN_PROOF_MS, share * MAX_PROOF_MS);
 }
 
-/** Computes how likely a run is to have caused the loss, from 1 for one that has just begun. */
-function computeWeight({ provenMs }: LostStart): number {
-    return 1 / (1 + (provenMs / HALF_BLAME_MS) ** 2);
+/** Computes the relative likelihood that a run caused the loss; 1 for one that has just started. */
+function computeWeight({ provenMs }: RunAtLoss): number {
+    return 1 / (1 + (provenMs / HALF_BLAME_AGE_MS) ** 2);
 }
 
-function computeBlame(runs: readonly LostStart[], weights: readonly number[]): ReadonlyMap<string, number> {
+function computeBlame(runs: readonly RunAtLoss[], weights: readonly number[]): ReadonlyMap<string, number> {
     const total = Math.max(1, weights.reduce((sum, weight) => sum + weight, 0));
     const blame = new Map<string, number>();
     runs.forEach(({ queue }, index) => {
--- a/src/process/dispatch/load-meter.ts
+++ b/src/process/dispatch/load-meter.ts
@@ -1,25 +1,24 @@
-/** How many nodes some kind of work keeps busy. */
+/** Measures how many nodes one kind of work keeps busy. */
 import type { Clock, Millis } from "../../common/clock.js";
 
-/** Time over which the load is measured. */
-const SPAN_MS: Millis = 2_000;
+/** Time constant of the exponential average. */
+const AVERAGING_TIME_MS: Millis = 2_000;
 
-/** The load of the last seconds, of which each moment counts less as it gets older. */
+/** Exponentially weighted load of the last seconds. */
 export class LoadMeter {
     private load = 0;
-    private at: Millis = 0;
+    private updatedAt: Millis = 0;
 
-    /** @param clock - Tells how old what was added is. */
     constructor(private readonly clock: Clock) {}
 
-    /** Adds work that keeps one node busy for a time. */
-    add(tookMs: Millis): void {
-        this.load = this.compute() + tookMs / SPAN_MS;
-        this.at = this.clock.now();
+    /** Adds work that keeps one node busy for `busyMs`. */
+    add(busyMs: Millis): void {
+        this.load = this.compute() + busyMs / AVERAGING_TIME_MS;
+        this.updatedAt = this.clock.now();
     }
 
-    /** Returns how many nodes are kept busy. */
+    /** Returns the mean number of busy nodes. */
     compute(): number {
-        return this.load * Math.exp((this.at - this.clock.now()) / SPAN_MS);
+        return this.load * Math.exp((this.updatedAt - this.clock.now()) / AVERAGING_TIME_MS);
     }
 }
--- a/src/process/dispatch/permits.ts
+++ b/src/process/dispatch/permits.ts
@@ -1,73 +1,76 @@
-/** What the advice service has said of one step: who may run it, with permits that expire. */
+/** The advice service's answers about one step: which workers may run it, with permits that expire. */
 import type { Millis } from "../../common/clock.js";
 import type { Permit } from "../ports/task-worker-port.js";
 
 /**
- * Part of a permit's time that is kept for the answer's way here and the order's to the worker. A permit counts from
- * when the service decided: counted from the question, most of it would have passed before the answer. A worker that finds
- * a permit too old refuses the order unharmed.
+ * Part of a permit's validity that is reserved for the transit of the answer and of the order to the worker.
+ * Validity counts from the service's decision; counted from the request, most of it would have passed before
+ * the answer. A worker that finds a permit expired refuses the order, which does no harm.
  */
 const PERMIT_MARGIN_MS: Millis = 300;
 
-/** A question that waits is replaced this often at least: room comes and goes. */
-export const REFRESH_MS: Millis = 250;
-/** Pause after a question that failed: other nodes may still reach the service. */
-const FAILURE_PAUSE_MS: Millis = 150;
+/** A waiting request is replaced at this age at the latest, as free capacity changes. */
+export const REQUEST_REFRESH_MS: Millis = 250;
+/** Backoff after a failed request: other nodes may still reach the service. */
+const FAILURE_BACKOFF_MS: Millis = 150;
 
-/** A question that waits or is under way. */
-export interface OpenQuestion {
-    /** When it was first put. */
+/** A request to the advice service that waits or is in flight. */
+export interface OpenAdviceRequest {
+    /** When it was first made. */
     readonly since: Millis;
-    /** When it is to be replaced by what its step wants then, if it still waits. */
+    /** When it is to be replaced by what its step needs then, if it still waits. */
     readonly refreshAt: Millis;
-    /** Workers that it names. */
+    /** Number of workers named. */
     readonly workers: number;
-    /** Node that was asked; undefined while the question waits for one. */
+    /** Node that sent it; undefined while it waits for one. */
     nodeName: string | undefined;
-    /** When that node was asked. */
+    /** When that node was given it. */
     sentAt: Millis | undefined;
 }
 
-/** Time after which a worker that was left out of an answer may be named again; it doubles with each answer, up to the longest. */
-const FIRST_DENIAL_MS: Millis = 1_000;
-const LONGEST_DENIAL_MS: Millis = 10_000;
+/**
+ * Time after which a worker that was left out of an answer may be named again; it doubles with each such
+ * answer up to the maximum.
+ */
+const MIN_DENIAL_MS: Millis = 1_000;
+const MAX_DENIAL_MS: Millis = 10_000;
 
 interface Denial {
-    /** When the worker may be named again, on our clock. */
+    /** When the worker may be named again, on the leader's clock. */
     readonly until: Millis;
-    readonly pauseMs: Millis;
+    readonly durationMs: Millis;
 }
 
 interface HeldPermit {
     readonly token: string;
-    /** On our clock. */
+    /** On the leader's clock. */
     readonly usableUntil: Millis;
 }
 
-/** Permits of one step; see the module comment. */
+/** Permits, denials and the open request of one step. */
 export class StepPermits {
-    /** The question that is waiting or under way. */
-    private question: OpenQuestion | undefined;
+    /** The request that waits or is in flight. */
+    private request: OpenAdviceRequest | undefined;
     /** Since when an answer is wanted; undefined once there is one. */
     private wantedSince: Millis | undefined;
-    private questions = 0;
+    private requestCount = 0;
     private failures = 0;
-    /** After a question that failed, when the next may be put. */
-    private pausedUntil: Millis = -Infinity;
+    /** After a failed request, when the next may be made. */
+    private backoffUntil: Millis = -Infinity;
     private readonly held = new Map<string, HeldPermit>();
     private readonly denied = new Map<string, Denial>();
 
     /**
-     * Takes in that a question is put, or that one that still waits is replaced.
-     * @param now - On our clock.
-     * @param workers - Workers that it names.
-     * @param refreshMs - Time after which it is to be replaced if it still waits.
+     * Records a new request, or the replacement of one that still waits.
+     * @param now - On the leader's clock.
+     * @param workers - Number of workers that it names.
+     * @param refreshMs - Age at which it is to be replaced if it still waits.
      */
-    startQuestion(now: Millis, workers: number, refreshMs: Millis = REFRESH_MS): void {
-        const since = this.question?.since ?? now;
-        this.questions += this.question === undefined ? 1 : 0;
+    startRequest(now: Millis, workers: number, refreshMs: Millis = REQUEST_REFRESH_MS): void {
+        const since = this.request?.since ?? now;
+        this.requestCount += this.request === undefined ? 1 : 0;
         this.wantedSince ??= now;
-        this.question = {
+        this.request = {
             since,
             refreshAt: now + refreshMs,
             workers,
@@ -76,66 +79,65 @@
         };
     }
 
-    /** Takes in which node was asked. */
+    /** Records which node sent the request. */
     observeSent(nodeName: string, now: Millis): void {
-        if (this.question !== undefined) {
-            this.question.nodeName = nodeName;
-            this.question.sentAt = now;
+        if (this.request !== undefined) {
+            this.request.nodeName = nodeName;
+            this.request.sentAt = now;
         }
     }
 
-    /** Returns since when an answer is wanted, through all questions that were withdrawn. */
+    /** Returns since when an answer is wanted, regardless of withdrawn requests; undefined if none is. */
     getWantedSince(): Millis | undefined {
         return this.wantedSince;
     }
 
-    /** Tells whether a question waits that was put so long ago that its content may be of no use any more. */
-    isQuestionStale(now: Millis): boolean {
-        const { question } = this;
-        return question !== undefined && question.sentAt === undefined && now >= question.refreshAt;
+    /** Tells whether a waiting request is so old that its content may be outdated. */
+    isRequestStale(now: Millis): boolean {
+        const { request } = this;
+        return request !== undefined && request.sentAt === undefined && now >= request.refreshAt;
     }
 
-    /** Takes in that the question is settled. */
-    endQuestion(): void {
-        this.question = undefined;
+    /** Records that the request is settled. */
+    endRequest(): void {
+        this.request = undefined;
     }
 
-    /** Returns the question that is waiting or under way. */
-    getQuestion(): Readonly<OpenQuestion> | undefined {
-        return this.question;
+    /** Returns the request that waits or is in flight. */
+    getRequest(): Readonly<OpenAdviceRequest> | undefined {
+        return this.request;
     }
 
-    /** Counts the questions that were put; one that was withdrawn and put again counts twice. */
-    countQuestions(): number {
-        return this.questions;
+    /** Counts the requests made; one that was withdrawn and made again counts twice. */
+    countRequests(): number {
+        return this.requestCount;
     }
 
-    /** Counts the questions that failed since the last answer. */
+    /** Counts the requests that failed since the last answer. */
     countFailures(): number {
         return this.failures;
     }
 
-    /** Counts the workers that may run the step. */
     countAllowed(): number {
         return this.held.size;
     }
 
-    /** Counts the workers that may not run it. */
     countDenied(): number {
         return this.denied.size;
     }
 
     /**
-     * Takes in an answer.
+     * Applies an answer.
      *
-     * @remarks Failure guarded against: an answer leaves out a worker that the service did not know at that moment. Denied
-     * for good, it stays out of the step's reach, and once the allowed workers are gone the step waits for ever beside empty
-     * ones. A denial ends, later each time, so a step that no worker may run costs few questions.
+     * @remarks An answer also leaves out workers that the service did not know at that moment. If such a
+     * denial were final, the step would wait forever beside empty workers once the allowed ones are gone.
+     * Denials therefore expire, each later than the last, so that a step that no worker may run costs few
+     * requests.
      *
-     * An allowed worker that a renewal leaves out is denied like any other: still held, it would stay the best place of a
-     * task that then waits for a permit that nobody gives.
+     * An allowed worker that a renewal leaves out is denied like any other. If it were kept, it would remain
+     * the best place for a task that then waits for a permit nobody grants.
      * @param asked - Workers that were named.
-     * @param permits - Those that are allowed.
+     * @param permits - Permits for those that are allowed.
      * @param answeredAt - When the answer arrived.
      * @param validMs - How long permits are valid.
      */
@@ -150,33 +152,33 @@
         }
         for (const workerId of asked) {
             if (!allowed.has(workerId)) {
-                this.refuseWorker(workerId, answeredAt);
+                this.recordDenial(workerId, answeredAt);
             }
         }
     }
 
     /**
-     * Takes in that a question failed.
+     * Records a failed request.
      *
-     * @remarks While the service is away every question fails within milliseconds; put again at once, they would take
-     * all of the leader's processor time.
+     * @remarks While the service is unavailable every request fails within milliseconds. Repeated without a
+     * pause, requests would take all of the leader's processor time.
      */
     observeFailure(now: Millis): void {
         this.failures += 1;
-        this.pausedUntil = now + FAILURE_PAUSE_MS;
+        this.backoffUntil = now + FAILURE_BACKOFF_MS;
     }
 
-    /** Tells whether a question may be put now, or put anew in place of one that waits. */
-    canAsk(now: Millis): boolean {
-        return (this.question === undefined || this.isQuestionStale(now)) && now >= this.pausedUntil;
+    /** Tells whether a request may be made now, or may replace one that waits. */
+    canRequest(now: Millis): boolean {
+        return (this.request === undefined || this.isRequestStale(now)) && now >= this.backoffUntil;
     }
 
-    /** Tells whether any question was answered. */
+    /** Tells whether the service has answered about any worker. */
     hasAnswer(): boolean {
         return this.held.size + this.denied.size > 0;
     }
 
-    /** Drops a permit that its worker did not take. */
+    /** Expires a permit that its worker rejected; the worker still counts as allowed. */
     drop(workerId: string): void {
         const permit = this.held.get(workerId);
         if (permit !== undefined) {
@@ -189,32 +191,34 @@
         return !this.held.has(workerId) && !this.denied.has(workerId);
     }
 
-    /** Tells whether a worker may run the step, also when its permit has run out. */
+    /** Tells whether a worker may run the step, even if its permit has expired. */
     isAllowed(workerId: string): boolean {
         return this.held.has(workerId);
     }
 
-    /** Tells whether a worker was denied so long ago that it may be named again. */
+    /** Tells whether a worker's denial has expired, so that it may be named again. */
     isDenialOver(workerId: string, now: Millis): boolean {
         const denial = this.denied.get(workerId);
         return denial !== undefined && now >= denial.until;
     }
 
-    /** Lists the workers that may run the step, also those whose permit has run out. */
+    /** Lists the workers that may run the step, including those whose permit has expired. */
     listAllowed(): Iterable<string> {
         return this.held.keys();
     }
 
-    /** Returns the permit for a worker if it can still be used. */
+    /** Returns the token of a worker's permit if it is still valid. */
     getUsable(workerId: string, now: Millis): string | undefined {
         const permit = this.held.get(workerId);
         return permit !== undefined && now < permit.usableUntil ? permit.token : undefined;
     }
 
-    private refuseWorker(workerId: string, now: Millis): void {
-        const last = this.denied.get(workerId)?.pauseMs;
-        const pauseMs = last === undefined ? FIRST_DENIAL_MS : Math.min(LONGEST_DENIAL_MS, last * 2);
+    private recordDenial(workerId: string, now: Millis): void {
+        const lastDurationMs = this.denied.get(workerId)?.durationMs;
+        const durationMs = lastDurationMs === undefined ?
+            MIN_DENIAL_MS :
+            Math.min(MAX_DENIAL_MS, lastDurationMs * 2);
         this.held.delete(workerId);
-        this.denied.set(workerId, { until: now + pauseMs, pauseMs });
+        this.denied.set(workerId, { until: now + durationMs, durationMs: durationMs });
     }
 }
--- a/src/process/dispatch/planner.ts
+++ b/src/process/dispatch/planner.ts
@@ -1,64 +1,62 @@
 /**
- * Decides which waiting tasks start where. Pure: it reads the state and returns what to do.
+ * Decides which waiting tasks start on which workers. It has no side effects.
  *
- * @remarks Steps are served in the order of their urgency. What a step is given, or waits for a permit for, is out
- * of reach of the steps behind it. A gang that does not fit yet keeps what it could use, else smaller tasks would
- * take each piece of room as it comes free and the gang would never start.
+ * @remarks Steps are served in the order of their urgency. Capacity that a step is given, or for which it
+ * waits for a permit, is not available to the steps behind it. A gang that does not fit yet reserves what it
+ * could use, as otherwise smaller tasks would use all capacity that comes free and the gang would never
+ * start.
  */
 import { TaskState } from "../jobs/job.js";
 import type { Step, Task } from "../jobs/job.js";
 import { isSuspect } from "../jobs/worker-losses.js";
-import { isHeldBack } from "./backfill.js";
+import { isDeferred } from "./backfill.js";
 import type { StepPermits } from "./permits.js";
 import { computePlaceScore } from "./place-score.js";
-import type { PermitWish, Plan, PlanInput, PlannedStart } from "./plan.js";
+import type { PermitRequest, Plan, PlanInput, PlannedStart } from "./plan.js";
 import { canEverHold, countPlaces, isAllOrNothing, PoolView } from "./pool-view.js";
 import type { Slot } from "./pool-view.js";
 import { choosePreemptions } from "./preemption.js";
 import type { Preemption } from "./preemption.js";
 import { Probation } from "./probation.js";
-import { selectWorkersToAsk } from "./question-size.js";
-import type { AskableWorker } from "./question-size.js";
+import { selectRequestedWorkers } from "./request-size.js";
+import type { RequestCandidate } from "./request-size.js";
 import { canBecomeIdle, chooseReserved } from "./reserved-workers.js";
 import { compareUrgency } from "./urgency.js";
 import type { Urgency } from "./urgency.js";
-import { listAllowed, putSuspectsFirst } from "./waiting-step.js";
-import type { Placement, Question, WaitingStep } from "./waiting-step.js";
+import { listAllowed, sortSuspectsFirst } from "./waiting-step.js";
+import type { Placement, RequestScope, WaitingStep } from "./waiting-step.js";
 
 /**
- * What to expect of a renewal in place of the share of allowed workers: they are allowed, but by the time of the answer
- * others may have taken their room.
+ * Replaces the expected share of allowed workers in renewals: the workers are allowed, but others may have
+ * used their free capacity before the answer arrives.
  */
 const RENEWAL_SHARE = 0.5;
 /**
- * Gangs without enough room that keep what they could use. One drains workers for the most urgent; with more, room for
- * several gangs stands idle at once.
+ * Gangs without enough free capacity that reserve what they could use. One drains workers for the most urgent
+ * gang; with more, the capacity for several gangs would stand idle at once.
  */
-const MAX_KEEPING_GANGS = 1;
-/** Workers for each gang that has less urgent work stopped: its room is whole within half a second. */
+const MAX_RESERVING_GANGS = 1;
+/** Workers in the pool for each preempting gang, whose capacity is complete within half a second. */
 const WORKERS_PER_PREEMPTING_GANG = 60;
 
-/**
- * Plans one pass.
- * @param input - The state.
- */
+/** Plans one pass. */
 export function planStarts(input: PlanInput): Plan {
     return new Pass(input).run();
 }
 
 class Pass {
     private readonly starts: PlannedStart[] = [];
-    private readonly wishes: PermitWish[] = [];
+    private readonly permitRequests: PermitRequest[] = [];
     private readonly preemptions: Preemption[] = [];
     private readonly pools = new Map<string, PoolView>();
-    private readonly keepers: Step[] = [];
-    /** Names of the pools of the gangs that were looked at for suspects. */
+    private readonly reservingGangs: Step[] = [];
+    /** Names of the pools in which a gang was already considered for reserved workers. */
     private readonly poolsWithGangs = new Set<string>();
-    /** Tasks that should run alone, for which no worker becomes idle soon. */
-    private readonly besideOthers = new Set<Task>();
+    /** Tasks that should run exclusively, but for which no worker becomes idle soon. */
+    private readonly nonExclusive = new Set<Task>();
     private preemptingGangs = 0;
-    /** Priority of the most urgent gang that lacks room and could be in time. */
-    private blockedPriority = Infinity;
+    /** Priority of the most urgent gang that lacks capacity and could be in time. */
+    private blockedGangPriority = Infinity;
 
     private readonly probation: Probation;
 
@@ -70,12 +68,18 @@
         const ordered = this.probation.order([...this.input.waiting].sort(compareUrgency));
         ordered.forEach(urgency => this.reserveWorkers(urgency));
         ordered.forEach(urgency => this.planStep(urgency));
-        const { starts, wishes, preemptions, keepers } = this;
-        return { starts, wishes, preemptions, keepers, backlogs: this.probation.collectBacklogs() };
+        const { starts, permitRequests, preemptions, reservingGangs } = this;
+        return {
+            starts,
+            permitRequests,
+            preemptions,
+            reservingGangs,
+            backlogs: this.probation.collectBacklogs(),
+        };
     }
 
     private planStep(urgency: Urgency): void {
-        if (!this.input.isAdviceShort && isHeldBack(urgency, this.blockedPriority)) {
+        if (!this.input.isAdviceOverloaded && isDeferred(urgency, this.blockedGangPriority)) {
             return;
         }
         const { step, queue } = urgency;
@@ -84,10 +88,10 @@
             return;
         }
         const pool = this.getPool(queue.pool);
-        if (!this.probation.hasTurn(urgency, pool)) {
+        if (!this.probation.hasBudget(urgency, pool)) {
             return;
         }
-        const asked = this.wishes.length;
+        const requestsBefore = this.permitRequests.length;
         const current = this.buildWaitingStep(urgency, startable);
         const placements = this.placeTasks(current);
         const isWhole = placements.length === step.waiting;
@@ -100,8 +104,8 @@
         if (!isWhole) {
             this.requestUnknown(current);
         }
-        if (placements.length > 0 || this.wishes.length > asked) {
-            this.probation.observeTurn(urgency, pool);
+        if (placements.length > 0 || this.permitRequests.length > requestsBefore) {
+            this.probation.useBudget(urgency, pool);
         }
     }
 
@@ -122,7 +126,7 @@
         return { urgency, step, pool, permits, candidates, startable };
     }
 
-    /** Keeps workers for tasks that must run alone, before others take the room that they need. */
+    /** Reserves workers for tasks that must run exclusively, before others use their capacity. */
     private reserveWorkers(urgency: Urgency): void {
         const { step, queue } = urgency;
         const isFirstGang = isAllOrNothing(step) && !this.poolsWithGangs.has(queue.pool);
@@ -136,10 +140,10 @@
         const { pool, permits, candidates } = this.buildWaitingStep(urgency, suspects);
         const { now } = this.input;
         if (!candidates.some(slot => canBecomeIdle(slot, now))) {
-            suspects.forEach(task => this.besideOthers.add(task));
+            suspects.forEach(task => this.nonExclusive.add(task));
             return;
         }
-        // Two gangs that each keep a worker which the other needs would wait for ever.
+        // Two gangs that each reserve a worker which the other needs would wait forever.
         const mayReserve = !isAllOrNothing(step) || isFirstGang && canEverHold(step, candidates);
         if (!mayReserve || permits !== undefined && permits.countFailures() > 0) {
             return;
@@ -154,27 +158,32 @@
         if (known !== undefined) {
             return known;
         }
-        const { workersByPool, unheardByPool, now } = this.input;
-        const created = new PoolView(name, workersByPool.get(name) ?? [], unheardByPool.get(name) ?? [], now);
+        const { workersByPool, unreportedByPool, now } = this.input;
+        const created = new PoolView(
+            name,
+            workersByPool.get(name) ?? [],
+            unreportedByPool.get(name) ?? [],
+            now,
+        );
         this.pools.set(name, created);
         return created;
     }
 
-    /** Finds places for as many tasks as possible and takes their room. */
+    /** Finds places for as many tasks as possible and deducts their capacity. */
     private placeTasks(current: WaitingStep): readonly Placement[] {
         const { step, pool, startable } = current;
         const placements: Placement[] = [];
         if (!pool.mayFit(step.spec.demand)) {
             return placements;
         }
-        // All tasks of a step need the same room, so where one does not fit no other of its kind does.
-        const isFull = { alone: false, beside: false };
-        for (const task of putSuspectsFirst(startable)) {
-            const isAlone = isSuspect(task) && !this.besideOthers.has(task);
+        // All tasks of a step have the same demand, so where one does not fit no other of its kind does.
+        const isExhausted = { alone: false, beside: false };
+        for (const task of sortSuspectsFirst(startable)) {
+            const isAlone = isSuspect(task) && !this.nonExclusive.has(task);
             const kind = isAlone ? "alone" : "beside";
-            const slot = isFull[kind] ? undefined : this.chooseSlot(current, task, isAlone);
+            const slot = isExhausted[kind] ? undefined : this.chooseSlot(current, task, isAlone);
             if (slot === undefined) {
-                isFull[kind] = true;
+                isExhausted[kind] = true;
                 continue;
             }
             slot.take(step, isSuspect(task));
@@ -183,7 +192,7 @@
         return placements;
     }
 
-    /** Chooses the fullest worker that still fits, so that large holes stay for gangs. */
+    /** Chooses the fullest worker that still fits, so that large gaps remain for gangs. */
     private chooseSlot(
         { urgency, step, candidates, permits }: WaitingStep,
         task: Task,
@@ -191,7 +200,7 @@
     ): Slot | undefined {
         const isPermitted = ({ id }: Slot): boolean =>
             permits === undefined || permits.getUsable(id, this.input.now) !== undefined;
-        const isBesideOthers = this.besideOthers.has(task);
+        const isBesideOthers = this.nonExclusive.has(task);
         let best: Slot | undefined;
         let bestScore = Infinity;
         for (const slot of candidates) {
@@ -213,29 +222,29 @@
     private startOrRequest(current: WaitingStep, placements: readonly Placement[]): void {
         const { step, permits } = current;
         const isProbe = this.probation.isProbe(current.urgency);
-        const found = placements.map(({ task, slot }): PlannedStart => {
+        const planned = placements.map(({ task, slot }): PlannedStart => {
             const permit = permits?.getUsable(slot.id, this.input.now);
             return { step, task, worker: slot.worker, permit, isProbe };
         });
         if (permits === undefined) {
-            this.starts.push(...found);
+            this.starts.push(...planned);
             return;
         }
-        const lacking = found.filter(start => start.permit === undefined);
-        if (!isAllOrNothing(step) || lacking.length === 0) {
-            this.starts.push(...found.filter(start => start.permit !== undefined));
+        const unpermitted = planned.filter(start => start.permit === undefined);
+        if (!isAllOrNothing(step) || unpermitted.length === 0) {
+            this.starts.push(...planned.filter(start => start.permit !== undefined));
         }
-        if (lacking.length > 0) {
+        if (unpermitted.length > 0) {
             this.renewPermits(current, permits, placements, true);
             this.releaseUnanswered(current, permits, placements);
         }
     }
 
     /**
-     * Gives back room that waits for a permit while questions fail.
+     * Releases capacity that waits for a permit while requests fail.
      *
-     * @remarks Failure guarded against: the service is away, and what needs no permit, or has one, stands still beside workers
-     * that are empty and kept for a step that cannot start.
+     * @remarks If the service is unavailable, tasks that need no permit, or have one, would otherwise wait
+     * beside empty workers that are reserved for a step that cannot start.
      */
     private releaseUnanswered(
         { step }: WaitingStep,
@@ -247,45 +256,51 @@
         }
         const isLacking = ({ slot }: Placement): boolean =>
             permits.getUsable(slot.id, this.input.now) === undefined;
-        const given = isAllOrNothing(step) ? placements : placements.filter(isLacking);
-        given.forEach(({ slot }) => slot.release(step));
+        const released = isAllOrNothing(step) ? placements : placements.filter(isLacking);
+        released.forEach(({ slot }) => slot.release(step));
     }
 
     /**
-     * Asks again for workers whose permit has run out, those chosen now and then the emptiest: by the time of the answer
-     * others may have taken that room, and most of the service's time goes to a question as such.
+     * Requests expired permits again, for the workers chosen now and then for the emptiest: by the time of
+     * the answer others may have used their free capacity, and most of the service's time goes to a request
+     * as such.
      */
     private renewPermits(
         current: WaitingStep,
         permits: StepPermits,
         placements: readonly Placement[],
-        hasRoom: boolean,
+        canStart: boolean,
     ): void {
-        if (!permits.canAsk(this.input.now)) {
+        if (!permits.canRequest(this.input.now)) {
             return;
         }
         const expired = current.candidates
             .filter(slot => permits.getUsable(slot.id, this.input.now) === undefined);
         const chosen = new Set(placements.map(({ slot }) => slot));
-        this.addWish(current.urgency, { slots: expired, allowedShare: RENEWAL_SHARE, hasRoom, chosen });
+        this.addPermitRequest(current.urgency, {
+            slots: expired,
+            allowedShare: RENEWAL_SHARE,
+            hasCapacity: canStart,
+            chosen,
+        });
     }
 
-    /** A gang without enough room keeps what it found, or gives it back to those behind it. */
+    /** Reserves what a gang without enough free capacity found, or releases it to the steps behind. */
     private settleBlockedGang(current: WaitingStep, placements: readonly Placement[]): void {
         const { urgency, step, candidates, permits } = current;
         if (this.probation.isRisky(urgency.queue.name)) {
             placements.forEach(({ slot }) => slot.release(step));
             return;
         }
-        const isKeeping = this.keepers.length < MAX_KEEPING_GANGS && placements.length > 0;
+        const isReserving = this.reservingGangs.length < MAX_RESERVING_GANGS && placements.length > 0;
         const canHold = canEverHold(step, candidates);
         if (canHold && urgency.lateness === 0) {
-            this.blockedPriority = Math.min(this.blockedPriority, urgency.queue.priority);
+            this.blockedGangPriority = Math.min(this.blockedGangPriority, urgency.queue.priority);
         }
-        if (canHold && (this.preemptFor(current, placements.length) || isKeeping)) {
-            this.keepers.push(step);
+        if (canHold && (this.preemptFor(current, placements.length) || isReserving)) {
+            this.reservingGangs.push(step);
             if (permits !== undefined) {
-                // Its room may come free at any moment, and must not stand idle for as long as a question takes.
+                // Its capacity may come free at any time and must not stand idle for the time of a request.
                 this.renewPermits(current, permits, placements, false);
             }
             return;
@@ -294,27 +309,27 @@
     }
 
     /**
-     * Stops less urgent runs for a gang that can still be in time, on workers that would take it now.
-     * @returns Whether its room will be whole then.
+     * Preempts less urgent runs for a gang that can still be in time, on workers that would accept it now.
+     * @returns Whether the gang will have all its capacity then.
      */
     private preemptFor(current: WaitingStep, placed: number): boolean {
         const { urgency, step, pool, startable } = current;
-        const { now, preemptionLooks } = this.input;
+        const { now, preemptionAttempts } = this.input;
         const limit = Math.max(1, pool.slots.length / WORKERS_PER_PREEMPTING_GANG);
-        // Members that must run alone need workers on which all runs end, not some.
+        // Members that must run exclusively need workers on which all runs end, not some.
         const isPossible = urgency.lateness === 0 && !startable.some(isSuspect);
         if (!isPossible || this.preemptingGangs >= limit) {
             return false;
         }
-        const wasMakingRoom = preemptionLooks.isMakingRoom(step, now);
-        if (!preemptionLooks.isDue(step, now)) {
-            this.preemptingGangs += wasMakingRoom ? 1 : 0;
-            return wasMakingRoom;
+        const wasPreempting = preemptionAttempts.isPreempting(step, now);
+        if (!preemptionAttempts.isDue(step, now)) {
+            this.preemptingGangs += wasPreempting ? 1 : 0;
+            return wasPreempting;
         }
-        const isMakingRoom = this.findPreemptions(current, step.waiting - placed);
-        preemptionLooks.observe(step, now, isMakingRoom);
-        this.preemptingGangs += isMakingRoom ? 1 : 0;
-        return isMakingRoom;
+        const isPreempting = this.findPreemptions(current, step.waiting - placed);
+        preemptionAttempts.observe(step, now, isPreempting);
+        this.preemptingGangs += isPreempting ? 1 : 0;
+        return isPreempting;
     }
 
     private findPreemptions(current: WaitingStep, missing: number): boolean {
@@ -328,11 +343,11 @@
     }
 
     /**
-     * Asks about workers that were not named yet: about the first ones at once, about more where those allowed can never
-     * hold the step, or where others have room now.
+     * Requests permits for workers that were not named yet: for the first ones at once, for more if the
+     * allowed ones can never hold the step, or if others have free capacity now.
      */
     private requestUnknown({ urgency, step, pool, permits, candidates }: WaitingStep): void {
-        if (permits?.canAsk(this.input.now) !== true) {
+        if (permits?.canRequest(this.input.now) !== true) {
             return;
         }
         const isAllWanted = candidates.length === 0 || !canEverHold(step, candidates);
@@ -342,7 +357,7 @@
         const unknown = this.probation.select(urgency, pool, pool.slots).filter(slot =>
             permits.isUnknown(slot.id) && (isAllWanted || slot.canTake(step)) && slot.isSuitable(step)
         );
-        // An answer may have left out workers that would be allowed now, and nobody else is left to ask about.
+        // An answer may have left out workers that would be allowed now, and no others remain to be named.
         const isDeniedWanted = isAllWanted && unknown.length === 0;
         const wanted = isDeniedWanted ?
             pool.slots.filter(slot =>
@@ -351,24 +366,32 @@
             unknown;
         const allowedShare = this.input.getAllowedShare(urgency.queue.name);
         const needed = isAllOrNothing(step) ? step.waiting : 1;
-        const hasRoom = countPlaces(step, wanted) * allowedShare >= needed;
-        this.addWish(urgency, { slots: wanted, allowedShare, hasRoom, chosen: new Set() });
+        const canStart = countPlaces(step, wanted) * allowedShare >= needed;
+        this.addPermitRequest(urgency, {
+            slots: wanted,
+            allowedShare,
+            hasCapacity: canStart,
+            chosen: new Set(),
+        });
     }
 
-    private addWish(urgency: Urgency, { slots, allowedShare, hasRoom, chosen }: Question): void {
+    private addPermitRequest(
+        urgency: Urgency,
+        { slots, allowedShare, hasCapacity, chosen }: RequestScope,
+    ): void {
         const { step, queue } = urgency;
         if (queue.advice === undefined || slots.length === 0) {
             return;
         }
         const need = { spec: step.spec, tasks: step.waiting, policy: queue.advice, allowedShare };
-        const askable = slots.map((slot): AskableWorker => {
+        const askable = slots.map((slot): RequestCandidate => {
             const { id, capacity, free } = slot;
             const cpuMillis = Math.max(0, free.cpuMillis - this.input.getClaimedCpu(id));
             return { id, capacity, free: { ...free, cpuMillis }, isChosen: chosen.has(slot) };
         });
         const workerIds = this.probation.isRisky(queue.name) ?
             askable.map(({ id }) => id) :
-            selectWorkersToAsk(askable, need);
-        this.wishes.push({ urgency, workerIds, hasRoom });
+            selectRequestedWorkers(askable, need);
+        this.permitRequests.push({ urgency, workerIds, hasCapacity });
     }
 }
--- a/src/process/dispatch/pool-view.ts
+++ b/src/process/dispatch/pool-view.ts
@@ -1,36 +1,36 @@
 /**
- * One pass's view of a pool's workers: what is still free while the pass takes from it.
+ * A planning pass's view of a pool's workers, with the free capacity that the pass has not used yet.
  *
- * @remarks The load this answers: hundreds of steps that wait for 246 workers of which hardly any has room. What does
- * not change during a pass is computed once, and a step that fits nowhere is told so by two comparisons.
+ * @remarks Hundreds of steps may wait for 246 workers of which hardly any has free capacity. What does not
+ * change during a pass is therefore computed once, and a step that fits nowhere is rejected by one comparison
+ * per dimension.
  */
 import type { Millis } from "../../common/clock.js";
 import { addResources, isWithin, NO_RESOURCES, removeResources } from "../../common/resources.js";
 import type { Resources } from "../../common/resources.js";
 import type { Step } from "../jobs/job.js";
-import { countFitting } from "./question-size.js";
+import { countFitting } from "./request-size.js";
 import type { WorkerState } from "./worker-state.js";
 
-/** A worker with what a pass has left of it. */
+/** A worker and the capacity that the current pass has not used yet. */
 export class Slot {
     readonly id: string;
     readonly capacity: Resources;
-    /** What comes free by itself: the capacity less runs that last until they are stopped. */
+    /** Capacity that comes free by itself: the total less that of open-ended runs. */
     readonly obtainable: Resources;
     free: Resources;
-    /** Logarithm of how much longer runs take here than elsewhere. */
+    /** Logarithm of how much longer runs take here than expected. */
     readonly slowness: number;
-    /** Tasks that this pass has put here, by step. */
-    private taken: Map<Step, number> | undefined;
-    /** Name of the step beside whose tasks no others may start. */
+    /** Number of tasks that this pass has placed here, by step. */
+    private placedTasks: Map<Step, number> | undefined;
+    /** Name of the step that has the worker to itself. */
     private exclusiveStep: string | undefined;
-    /** Step for which the worker is kept. */
+    /** Step for which the worker is reserved. */
     private reservedFor: Step | undefined;
 
     /**
-     * @param worker - The worker.
-     * @param now - On our clock.
-     * @param mayStart - Whether anything may start there in this pass.
+     * @param now - On the leader's clock.
+     * @param mayStart - Whether anything may start on the worker in this pass.
      */
     constructor(readonly worker: WorkerState, now: Millis, private readonly mayStart = true) {
         this.id = worker.id;
@@ -41,80 +41,85 @@
         this.exclusiveStep = worker.exclusiveRun?.step;
     }
 
-    /** Tells whether more tasks of a step may start here in this pass. */
+    /** Tells whether tasks of a step may start here in this pass, capacity aside. */
     isOpenTo(step: Step): boolean {
         return this.mayStart &&
             (this.exclusiveStep === undefined || this.exclusiveStep === step.name) &&
             (this.reservedFor === undefined || this.reservedFor === step);
     }
 
-    /** Tells whether nothing but a step's own tasks runs here or was put here by this pass. */
-    isIdleBut(step: Step): boolean {
-        return [...this.worker.runs.values()].every(run => run.step === step.name) && this.isUntakenBut(step);
+    /** Tells whether only tasks of a step run here or were placed here by this pass. */
+    isIdleExceptFor(step: Step): boolean {
+        return [...this.worker.runs.values()].every(run => run.step === step.name) &&
+            this.isUntouchedExceptFor(step);
     }
 
-    /** Tells whether this pass has put nothing here but tasks of a step. */
-    isUntakenBut(step: Step): boolean {
-        return [...this.taken?.keys() ?? []].every(other => other === step);
+    /** Tells whether this pass has placed only tasks of a step here. */
+    isUntouchedExceptFor(step: Step): boolean {
+        return [...this.placedTasks?.keys() ?? []].every(other => other === step);
     }
 
-    /** Whether the worker is kept for a step and runs others still. */
+    /** Whether the worker is reserved for a step and still runs others. */
     get isDraining(): boolean {
-        return this.reservedFor !== undefined && !this.isIdleBut(this.reservedFor);
+        return this.reservedFor !== undefined && !this.isIdleExceptFor(this.reservedFor);
     }
 
-    /** Whether the worker is kept for a step. */
     get isReserved(): boolean {
         return this.reservedFor !== undefined;
     }
 
-    /** Keeps the worker for tasks that must run alone. */
+    /** Reserves the worker for tasks that must run exclusively. */
     reserve(step: Step): void {
         this.reservedFor = step;
     }
 
     /**
-     * Takes room for one task.
-     * @param isAlone - Whether only tasks of its step may start here beside it.
+     * Deducts the capacity of one task.
+     * @param isAlone - Whether only tasks of the same step may start beside it.
      */
     take(step: Step, isAlone = false): void {
         this.free = removeResources(this.free, step.spec.demand);
-        this.taken ??= new Map();
-        this.taken.set(step, this.countTaken(step) + 1);
+        this.placedTasks ??= new Map();
+        this.placedTasks.set(step, this.countPlaced(step) + 1);
         this.exclusiveStep ??= isAlone ? step.name : undefined;
     }
 
-    /** Gives the room of one task back. */
+    /** Releases the capacity of one task. */
     release(step: Step): void {
         this.free = addResources(this.free, step.spec.demand);
-        const left = this.countTaken(step) - 1;
+        const left = this.countPlaced(step) - 1;
         if (left > 0) {
-            this.taken?.set(step, left);
+            this.placedTasks?.set(step, left);
         }
         else {
-            this.taken?.delete(step);
+            this.placedTasks?.delete(step);
             this.exclusiveStep = this.worker.exclusiveRun?.step;
         }
     }
 
-    /** Tells whether one more task of a step may run here now. */
+    /** Tells whether one more task of a step fits here now. */
     canTake(step: Step): boolean {
         return isWithin(step.spec.demand, this.free) && this.countPlacesLeft(step) > 0;
     }
 
-    /** Tells whether one more task of a step may run here now with nothing beside it but tasks of the same step. */
+    /**
+     * Tells whether one more task of a step fits here now, with nothing but tasks of the same step beside it.
+     */
     canTakeAlone(step: Step): boolean {
-        return this.canTake(step) && this.isIdleBut(step);
+        return this.canTake(step) && this.isIdleExceptFor(step);
     }
 
-    /** Tells whether it could ever run a step's tasks. */
+    /** Tells whether the worker has the label and the total capacity that a task of a step requires. */
     isSuitable({ spec }: Step): boolean {
         const hasLabel = spec.requiredLabel === undefined ||
             this.worker.record.labels.includes(spec.requiredLabel);
         return hasLabel && isWithin(spec.demand, this.capacity);
     }
 
-    /** Counts the tasks of a step that may still run here as far as its limit for each worker goes. */
+    /**
+     * Counts the tasks of a step that may still be placed here by the step's limit for each worker, capacity
+     * aside.
+     */
     countPlacesLeft(step: Step): number {
         if (!this.isOpenTo(step)) {
             return 0;
@@ -122,89 +127,89 @@
         const limit = step.spec.maxPerWorker;
         return limit === undefined ?
             Infinity :
-            limit - this.worker.countOfStep(step.name) - this.countTaken(step);
+            limit - this.worker.countRunsOfStep(step.name) - this.countPlaced(step);
     }
 
-    private countTaken(step: Step): number {
-        return this.taken?.get(step) ?? 0;
+    private countPlaced(step: Step): number {
+        return this.placedTasks?.get(step) ?? 0;
     }
 }
 
 function computeObtainable({ record, runs }: WorkerState): Resources {
     let obtainable = record.capacity;
     for (const run of runs.values()) {
-        obtainable = run.isLasting ? removeResources(obtainable, run.demand) : obtainable;
+        obtainable = run.isOpenEnded ? removeResources(obtainable, run.demand) : obtainable;
     }
     return obtainable;
 }
 
-/** The view; see the module comment. */
+/** Workers of one pool in one pass. */
 export class PoolView {
     readonly slots: readonly Slot[];
-    private readonly byId = new Map<string, Slot>();
-    /** Most that any worker has free, in each dimension for itself, when the pass begins. */
+    private readonly slotsById = new Map<string, Slot>();
+    /** Largest free amount of any worker when the pass begins, in each dimension separately. */
     private readonly mostFree: Resources;
 
     /**
-     * @param name - The pool's.
      * @param workers - Usable workers of the pool.
-     * @param unheard - Workers on which nothing may start yet.
-     * @param now - On our clock.
+     * @param unreported - Workers that have not reported yet, on which nothing may start.
+     * @param now - On the leader's clock.
      */
     constructor(
         readonly name: string,
         workers: readonly WorkerState[],
-        unheard: readonly WorkerState[],
+        unreported: readonly WorkerState[],
         now: Millis,
     ) {
         this.slots = [
             ...workers.map(worker => new Slot(worker, now)),
-            ...unheard.map(worker => new Slot(worker, now, false)),
+            ...unreported.map(worker => new Slot(worker, now, false)),
         ];
-        this.slots.forEach(slot => this.byId.set(slot.id, slot));
+        this.slots.forEach(slot => this.slotsById.set(slot.id, slot));
         this.mostFree = {
-            cpuMillis: this.findMost(free => free.cpuMillis),
-            memoryMib: this.findMost(free => free.memoryMib),
-            accelerators: this.findMost(free => free.accelerators),
+            cpuMillis: this.findLargest(free => free.cpuMillis),
+            memoryMib: this.findLargest(free => free.memoryMib),
+            accelerators: this.findLargest(free => free.accelerators),
         };
     }
 
     get(workerId: string): Slot | undefined {
-        return this.byId.get(workerId);
+        return this.slotsById.get(workerId);
     }
 
-    /** Counts the workers that are left to run empty. */
+    /** Counts the reserved workers that still run other steps. */
     countDraining(): number {
         return this.slots.filter(slot => slot.isDraining).length;
     }
 
-    /** Tells whether a demand may fit somewhere; false means that it surely does not. */
+    /** Tells whether a demand may fit somewhere; false means that it certainly does not. */
     mayFit(demand: Resources): boolean {
         return isWithin(demand, this.mostFree);
     }
 
-    private findMost(read: (free: Resources) => number): number {
+    private findLargest(read: (free: Resources) => number): number {
         return this.slots.reduce((most, slot) => Math.max(most, read(slot.free)), 0);
     }
 }
 
 /**
- * Tells whether a step's tasks fit, all at once, onto workers that run nothing else; for a gang also beside runs that last.
+ * Tells whether all tasks of a step fit at once onto workers that run nothing else; for a gang, that run
+ * nothing but open-ended runs.
  *
- * @remarks Failure guarded against: a gang that is larger than all workers that may run it, or than what services leave of
- * them, keeps room for as long as it waits, and everything behind it starves.
+ * @remarks A gang larger than all workers that may run it, or than the capacity that services leave of them,
+ * would otherwise hold capacity for as long as it waits and starve everything behind it.
  */
 export function canEverHold(step: Step, slots: readonly Slot[]): boolean {
     const { demand, maxPerWorker, taskCount } = step.spec;
     let tasks = 0;
     for (const { capacity, obtainable } of slots) {
-        const room = isAllOrNothing(step) ? obtainable : capacity;
-        tasks += Math.min(countFitting(demand, room), maxPerWorker ?? Infinity);
+        const available = isAllOrNothing(step) ? obtainable : capacity;
+        tasks += Math.min(countFitting(demand, available), maxPerWorker ?? Infinity);
     }
     return tasks >= taskCount;
 }
 
-/** Counts the tasks of a step that workers have room for now. */
+/** Counts the waiting tasks of a step that fit onto workers now. */
 export function countPlaces(step: Step, slots: readonly Slot[]): number {
     let places = 0;
     for (const slot of slots) {
@@ -219,7 +224,10 @@
     return places;
 }
 
-/** Members that are missing from a gang that has started join it one by one. */
+/**
+ * Tells whether a step's tasks must start together. Members missing from a gang that has started join it one
+ * by one.
+ */
 export function isAllOrNothing(step: Step): boolean {
     return step.spec.isGang && step.repairRun === undefined;
 }
--- a/src/process/dispatch/preemption.ts
+++ b/src/process/dispatch/preemption.ts
@@ -1,9 +1,9 @@
 /**
- * Which runs to stop so that a more urgent gang fits. Pure.
+ * Chooses runs to preempt so that a more urgent gang fits.
  *
- * @remarks The load this answers: gangs of many large tasks, on the few workers that may run them, while single tasks of a
- * less urgent queue fill every hole. Only runs that save their progress when they are stopped are chosen: they go on
- * elsewhere and lose a restart. Nothing is stopped unless the whole gang fits then.
+ * @remarks Gangs of many large tasks can run only on a few workers, while single tasks of a less urgent queue
+ * fill every gap there. Only runs that save their progress when they are stopped are chosen: they continue
+ * elsewhere and lose only a restart. Nothing is stopped unless the whole gang fits afterwards.
  */
 import { addResources, isWithin, removeResources } from "../../common/resources.js";
 import type { Resources } from "../../common/resources.js";
@@ -16,27 +16,27 @@
 export interface Preemption {
     readonly worker: WorkerState;
     readonly run: RunRecord;
-    /** Name of the step that its room is for. */
+    /** Name of the step that its capacity is for. */
     readonly forStep: string;
 }
 
-/** Room for one more task on a worker. */
-interface Place {
+/** Capacity for one more task on a worker. */
+interface FreedPlace {
     readonly victims: readonly RunRecord[];
-    /** What is free once they have stopped. */
+    /** Free capacity once the victims have stopped. */
     readonly free: Resources;
-    /** Processors that are stopped, in thousandths. */
+    /** Processors of the victims, in thousandths. */
     readonly cost: number;
 }
 
-/** What is left of a worker while places are being chosen. */
-class Ground {
+/** A worker's remaining capacity and preemptible runs while places are chosen. */
+class PreemptionCandidate {
     private free: Resources;
-    /** Runs that may be stopped, the largest first: few stops make much room. */
+    /** Runs that may be stopped, the largest first, so that few stops free much capacity. */
     private readonly stoppable: RunRecord[];
     private placesLeft: number;
-    /** The next place; undefined if there is no more. */
-    place: Place | undefined;
+    /** The next place; undefined if there are no more. */
+    place: FreedPlace | undefined;
 
     constructor(readonly slot: Slot, private readonly step: Step, priority: number) {
         this.free = slot.free;
@@ -47,7 +47,8 @@
                 this.free = addResources(this.free, run.demand);
             }
             else if (
-                run.phase === RunPhase.running && run.yieldsBelow !== undefined && priority < run.yieldsBelow
+                run.phase === RunPhase.running && run.preemptibleBelow !== undefined &&
+                priority < run.preemptibleBelow
             ) {
                 this.stoppable.push(run);
             }
@@ -56,15 +57,15 @@
         this.place = this.findPlace();
     }
 
-    /** Takes a place, which is the next one. */
-    take({ victims, free }: Place): void {
+    /** Uses the next place. */
+    take({ victims, free }: FreedPlace): void {
         this.placesLeft -= 1;
         this.stoppable.splice(0, victims.length);
         this.free = removeResources(free, this.step.spec.demand);
         this.place = this.findPlace();
     }
 
-    private findPlace(): Place | undefined {
+    private findPlace(): FreedPlace | undefined {
         if (this.placesLeft === 0) {
             return undefined;
         }
@@ -84,12 +85,11 @@
 }
 
 /**
- * Chooses runs to stop.
- * @param step - A gang that lacks room.
- * @param missing - Members without a place.
- * @param slots - Workers that may run it now, less what its other members take.
- * @param priority - That of its queue; only runs of queues that go after it are stopped.
- * @returns Undefined where even that would not be enough; nothing where room enough is coming free already.
+ * Chooses runs to stop for a gang that lacks capacity.
+ * @param missing - Number of members without a place.
+ * @param slots - Workers that may run it now, less the capacity of its other members.
+ * @param priority - Priority of its queue; only runs of later queues are stopped.
+ * @returns Undefined if stopping runs would not be enough; empty if enough capacity is coming free already.
  */
 export function choosePreemptions(
     step: Step,
@@ -97,10 +97,10 @@
     slots: readonly Slot[],
     priority: number,
 ): readonly Preemption[] | undefined {
-    const grounds = slots.map(slot => new Ground(slot, step, priority));
+    const candidates = slots.map(slot => new PreemptionCandidate(slot, step, priority));
     const chosen: Preemption[] = [];
     for (let member = 0; member < missing; member++) {
-        const best = findCheapest(grounds);
+        const best = findCheapest(candidates);
         if (best === undefined) {
             return undefined;
         }
@@ -113,9 +113,9 @@
 }
 
 function findCheapest(
-    grounds: readonly Ground[],
-): { readonly ground: Ground; readonly place: Place; } | undefined {
-    let best: { readonly ground: Ground; readonly place: Place; } | undefined;
+    grounds: readonly PreemptionCandidate[],
+): { readonly ground: PreemptionCandidate; readonly place: FreedPlace; } | undefined {
+    let best: { readonly ground: PreemptionCandidate; readonly place: FreedPlace; } | undefined;
     for (const ground of grounds) {
         const { place } = ground;
         if (place !== undefined && place.cost < (best?.place.cost ?? Infinity)) {
--- a/src/process/dispatch/probation.ts
+++ b/src/process/dispatch/probation.ts
@@ -1,9 +1,9 @@
 /**
- * Which workers are kept, within one pass, for queues whose tasks crash workers. Pure.
+ * Selects, within one pass, the workers dedicated to queues whose tasks crash workers (risky queues).
  *
- * @remarks The load this answers: one queue of which a share of the tasks crash their workers, beside others that do no harm.
- * Tasks of that queue start on a bounded part of the pool, beside nothing of other queues, and one step at a time: a crash
- * then has one cause, and the harm stays with the queue.
+ * @remarks A share of one queue's tasks may crash their workers while other queues do no harm. Tasks of such
+ * a queue start on a bounded share of the pool, not beside other queues' tasks, and one step at a time on
+ * each worker. A crash then has one cause, and its damage stays within the queue.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Step } from "../jobs/job.js";
@@ -15,86 +15,92 @@
 import { RunPhase } from "./worker-state.js";
 import type { RunRecord } from "./worker-state.js";
 
-/** Part of a pool that may be kept, or away because of a crash. */
-const KEPT_SHARE = 1 / 3;
-/** Part of a pool that is left to run empty of other queues at most. */
+/** Share of a pool that may be dedicated to risky queues, including workers that are down after a crash. */
+const DEDICATED_SHARE = 1 / 3;
+/** Largest share of a pool that may be drained of other queues' runs. */
 const DRAINING_SHARE = 1 / 8;
-/** A worker with less of its processors free is full: it takes no new steps and is not counted. */
+/**
+ * A worker with a smaller share of its processors free counts as full: it takes no new steps and is not
+ * dedicated.
+ */
 const MIN_FREE_SHARE = 1 / 16;
 /**
- * Steps for each kept worker that are planned in a pass: one to start and one whose question is under way. The permits of
- * more would run out before their turn, and their questions would fill the advice service's line.
+ * Steps planned in a pass for each dedicated worker: one to start and one whose request to the advice service
+ * is in flight. The permits of more would expire before they can start, and their requests would fill the
+ * service's queue.
  */
-const TURNS_PER_WORKER = 2;
-/** Workers kept on top for steps that may run on none of the others. */
-const MAX_EXTRA = 2;
+const STEPS_PER_WORKER = 2;
+/** Workers dedicated additionally for steps that may run on none of the others. */
+const MAX_EXTRA_WORKERS = 2;
 
-/** What is known of queues whose tasks crash workers. */
+/** What is known about risky queues. */
 export interface ProbationInput {
     readonly risky: ReadonlyMap<string, QueueRisk>;
-    /** Counts the workers of a pool that are away because of a crash, by whether a probe or another suspect explains it. */
-    readonly countAway: (pool: string, isExplained: boolean) => number;
+    /**
+     * Counts the workers of a pool that are down after a crash, by whether a probe or another suspect
+     * explains it.
+     */
+    readonly countCrashed: (pool: string, isExplained: boolean) => number;
 }
 
-/** What waits of a queue whose tasks crash workers. */
+/** The waiting work of a risky queue. */
 export interface RiskyBacklog {
-    /** Steps with something to start. */
+    /** Steps with a task to start. */
     readonly steps: number;
-    /** Those of them that are late, or have probably crashed a worker. */
+    /** How many of them are late or have probably crashed a worker. */
     readonly probes: number;
-    /** Workers on which they may start at a time. */
+    /** Number of workers on which they may start at a time. */
     readonly workers: number;
 }
 
-/** Nothing crashes workers. */
-export const NO_PROBATION: ProbationInput = { risky: new Map(), countAway: () => 0 };
+/** No queue is risky. */
+export const NO_PROBATION: ProbationInput = { risky: new Map(), countCrashed: () => 0 };
 
-/** How much a worker is in the way of a risky queue; lower is better. */
-const Rank = {
+/** Preference of workers for a risky queue; lower is better. */
+const SlotRank = {
     unproven: 0,
     own: 1,
     idle: 2,
     mixed: 3,
 } as const;
-type Rank = (typeof Rank)[keyof typeof Rank];
+type SlotRank = (typeof SlotRank)[keyof typeof SlotRank];
 
-/** Part of the bounded part on which probes run while timely work of their queue waits. */
+/** Share of the dedicated workers on which probes run while timely work of their queue waits. */
 const PROBE_SHARE = 1 / 4;
 
-/** Part of a pool that probes leave idle for other queues. */
-const IDLE_RESERVE = 1 / 8;
+/** Share of a pool that probes leave idle for other queues. */
+const IDLE_RESERVE_SHARE = 1 / 8;
 
-/** What is left of a pool's part for risky queues in this pass. */
-interface Kept {
-    /** How many more may be added for steps that may run on none of them. */
-    extra: number;
-    /** How many more timely steps may start, or ask for permits, in this pass. */
-    turns: number;
+/** What risky queues may still start in one pool in this pass. */
+interface StepBudget {
+    /** Workers that may still be dedicated for steps that may run on none of the dedicated ones. */
+    extraWorkers: number;
+    /** Timely steps that may still start, or request permits, in this pass. */
+    stepsLeft: number;
     /** The same for probes. */
-    probeTurns: number;
+    probesLeft: number;
 }
 
-/** The choice for one pass; see the module comment. */
+/** Placement of risky queues in one pass. */
 export class Probation {
-    private readonly kept = new Map<PoolView, Kept>();
-    private readonly keptSlots = new Set<Slot>();
-    /** Workers of each pool that risky queues may use, those that are away included. */
-    private readonly parts = new Map<string, number>();
+    private readonly budgets = new Map<PoolView, StepBudget>();
+    private readonly dedicatedSlots = new Set<Slot>();
+    /** Number of workers in each pool that risky queues may use, including those that are down. */
+    private readonly shares = new Map<string, number>();
     private ordered: readonly Urgency[] = [];
     private hasTimely = false;
 
     /**
-     * @param input - What is known of queues.
-     * @param now - On our clock.
+     * @param input - What is known about risky queues.
+     * @param now - On the leader's clock.
      */
     constructor(private readonly input: ProbationInput, private readonly now: Millis) {}
 
-    /** Tells whether a queue's tasks crash workers. */
     isRisky(queue: string): boolean {
         return this.input.risky.has(queue);
     }
 
-    /** Puts probes behind all other steps: they get what these leave idle. */
+    /** Sorts probes behind all other steps, so that they get what these leave idle. */
     order(ordered: readonly Urgency[]): readonly Urgency[] {
         if (this.input.risky.size === 0) {
             return ordered;
@@ -107,22 +113,22 @@
     }
 
     /**
-     * Tells whether a step of a risky queue is too late for its caller, or has probably crashed a worker: little is lost if it
-     * waits, while a crash would cost as much as any other.
+     * Tells whether a step of a risky queue is too late for its caller or has probably crashed a worker.
+     * Little is lost if it waits, while a crash would cost as much as any other.
      */
     isProbe({ step, queue, lateness }: Urgency): boolean {
         return this.isRisky(queue.name) &&
             (lateness === 2 || step.tasks.some(({ losses }) => losses.some(({ isEarly }) => isEarly)));
     }
 
-    /** Collects what waits of each risky queue. */
+    /** Collects the waiting work of each risky queue. */
     collectBacklogs(): ReadonlyMap<string, RiskyBacklog> {
         const backlogs = new Map<string, RiskyBacklog>();
         for (const urgency of this.ordered) {
             const { name, pool } = urgency.queue;
             if (this.isRisky(name)) {
                 const { steps, probes } = backlogs.get(name) ?? { steps: 0, probes: 0 };
-                const workers = this.parts.get(pool) ?? 0;
+                const workers = this.shares.get(pool) ?? 0;
                 const isProbe = this.isProbe(urgency);
                 backlogs.set(name, { steps: steps + 1, probes: probes + (isProbe ? 1 : 0), workers });
             }
@@ -130,147 +136,151 @@
         return backlogs;
     }
 
-    /** Tells whether a step may start, or ask for permits, in this pass; few at a time of risky queues. */
-    hasTurn(urgency: Urgency, pool: PoolView): boolean {
+    /**
+     * Tells whether a step may start, or request permits, in this pass; the steps of risky queues are
+     * limited.
+     */
+    hasBudget(urgency: Urgency, pool: PoolView): boolean {
         if (!this.isRisky(urgency.queue.name)) {
             return true;
         }
-        const { turns, probeTurns } = this.getKept(pool);
-        return (this.isProbe(urgency) ? probeTurns : turns) > 0;
+        const { stepsLeft, probesLeft } = this.getBudget(pool);
+        return (this.isProbe(urgency) ? probesLeft : stepsLeft) > 0;
     }
 
-    /** Counts a step that has started, or asked for permits, in this pass. */
-    observeTurn(urgency: Urgency, pool: PoolView): void {
+    /** Counts a step that has started, or requested permits, in this pass. */
+    useBudget(urgency: Urgency, pool: PoolView): void {
         if (!this.isRisky(urgency.queue.name)) {
             return;
         }
-        const kept = this.getKept(pool);
+        const budget = this.getBudget(pool);
         if (this.isProbe(urgency)) {
-            kept.probeTurns -= 1;
+            budget.probesLeft -= 1;
         }
         else {
-            kept.turns -= 1;
+            budget.stepsLeft -= 1;
         }
     }
 
     /**
      * Selects the workers that a step may use.
-     * @param urgency - The step.
-     * @param pool - Its pool.
-     * @param candidates - Workers that may run it.
+     * @param candidates - Workers of its pool that may run it.
      */
     select(urgency: Urgency, pool: PoolView, candidates: readonly Slot[]): readonly Slot[] {
         if (this.input.risky.size === 0) {
             return candidates;
         }
         const { step, queue } = urgency;
-        const kept = this.getKept(pool);
+        const budget = this.getBudget(pool);
         if (this.isProbe(urgency)) {
-            return candidates.filter(slot => slot.isIdleBut(step));
+            return candidates.filter(slot => slot.isIdleExceptFor(step));
         }
-        const others = candidates.filter(slot => !this.keptSlots.has(slot));
+        const others = candidates.filter(slot => !this.dedicatedSlots.has(slot));
         if (!this.isRisky(queue.name)) {
             return others;
         }
-        const own = candidates.filter(slot => this.keptSlots.has(slot));
-        if (isAllOrNothing(step) && !canEverHold(step, own)) {
+        const dedicated = candidates.filter(slot => this.dedicatedSlots.has(slot));
+        if (isAllOrNothing(step) && !canEverHold(step, dedicated)) {
             return candidates;
         }
-        if (own.length === 0) {
-            own.push(...this.addExtra(kept, others));
+        if (dedicated.length === 0) {
+            dedicated.push(...this.addExtraWorker(budget, others));
         }
-        return own;
+        return dedicated;
     }
 
-    /** Tells whether a step may start on one of its workers now. */
+    /** Tells whether a step may start now on a worker selected for it. */
     isReady(slot: Slot, urgency: Urgency): boolean {
-        const isOnProbation = this.isRisky(urgency.queue.name) && this.keptSlots.has(slot);
-        return !isOnProbation || this.isProbe(urgency) || this.isHarmless(slot, urgency.step);
+        const isOnProbation = this.isRisky(urgency.queue.name) && this.dedicatedSlots.has(slot);
+        return !isOnProbation || this.isProbe(urgency) || this.isSafe(slot, urgency.step);
     }
 
-    private getKept(pool: PoolView): Kept {
-        const known = this.kept.get(pool);
+    private getBudget(pool: PoolView): StepBudget {
+        const known = this.budgets.get(pool);
         if (known !== undefined) {
             return known;
         }
-        const slots = this.chooseKept(pool);
-        slots.forEach(slot => this.keptSlots.add(slot));
-        const extra = slots.size === 0 ? 0 : MAX_EXTRA;
-        const turns = (slots.size + extra) * TURNS_PER_WORKER;
-        const created = { extra, turns, probeTurns: this.computeProbeTurns(pool) };
-        this.kept.set(pool, created);
+        const slots = this.chooseDedicated(pool);
+        slots.forEach(slot => this.dedicatedSlots.add(slot));
+        const extraWorkers = slots.size === 0 ? 0 : MAX_EXTRA_WORKERS;
+        const stepsLeft = (slots.size + extraWorkers) * STEPS_PER_WORKER;
+        const created = { extraWorkers, stepsLeft, probesLeft: this.computeProbesLeft(pool) };
+        this.budgets.set(pool, created);
         return created;
     }
 
     /**
-     * Probes that run, and workers that probes have crashed, count as turns taken. Beside these, probes may have what is idle
-     * and not needed by timely work: late work has to be done in the end.
+     * Running probes, and workers that probes have crashed, count against the limit. Beyond it, probes may
+     * use workers that are idle and not needed by timely work, as late work has to be done in the end.
      */
-    private computeProbeTurns({ name, slots }: PoolView): number {
-        const limit = Math.max(1, Math.floor((this.parts.get(name) ?? 0) * PROBE_SHARE));
+    private computeProbesLeft({ name, slots }: PoolView): number {
+        const limit = Math.max(1, Math.floor((this.shares.get(name) ?? 0) * PROBE_SHARE));
         const isProbing = ({ worker }: Slot): boolean => [...worker.runs.values()].some(run => run.isProbe);
-        const left = limit - this.input.countAway(name, true) - slots.filter(isProbing).length;
+        const left = limit - this.input.countCrashed(name, true) - slots.filter(isProbing).length;
         const idle = slots.filter(({ worker }) => worker.runs.size === 0).length;
-        const kept = slots.length * (IDLE_RESERVE + (this.hasTimely ? KEPT_SHARE : 0));
-        return Math.max(left, (idle - Math.floor(kept)) * TURNS_PER_WORKER);
+        const reserved = slots.length * (IDLE_RESERVE_SHARE + (this.hasTimely ? DEDICATED_SHARE : 0));
+        return Math.max(left, (idle - Math.floor(reserved)) * STEPS_PER_WORKER);
     }
 
-    private chooseKept(pool: PoolView): Set<Slot> {
+    private chooseDedicated(pool: PoolView): Set<Slot> {
         const { name, slots } = pool;
-        const away = this.input.countAway(name, false);
-        const part = Math.max(1, Math.floor((slots.length + away) * KEPT_SHARE));
+        const crashed = this.input.countCrashed(name, false);
+        const share = Math.max(1, Math.floor((slots.length + crashed) * DEDICATED_SHARE));
         const idle = slots.filter(({ worker }) => worker.runs.size === 0).length;
-        this.parts.set(name, Math.max(part, idle - part));
-        const limit = Math.max(part, idle - part) - away;
-        const mostDraining = Math.max(1, Math.floor(slots.length * DRAINING_SHARE));
+        this.shares.set(name, Math.max(share, idle - share));
+        const limit = Math.max(share, idle - share) - crashed;
+        const maxDraining = Math.max(1, Math.floor(slots.length * DRAINING_SHARE));
         const ranked = this.rankSlots(slots);
-        const kept = new Set<Slot>();
+        const dedicated = new Set<Slot>();
         let draining = 0;
         for (const { slot, rank } of ranked) {
-            const isForced = rank === Rank.unproven;
-            draining += rank === Rank.mixed ? 1 : 0;
-            if (isForced || kept.size < limit && draining <= mostDraining) {
-                kept.add(slot);
+            const isForced = rank === SlotRank.unproven;
+            draining += rank === SlotRank.mixed ? 1 : 0;
+            if (isForced || dedicated.size < limit && draining <= maxDraining) {
+                dedicated.add(slot);
             }
         }
-        return kept;
+        return dedicated;
     }
 
-    private rankSlots(slots: readonly Slot[]): readonly { readonly slot: Slot; readonly rank: Rank; }[] {
+    private rankSlots(slots: readonly Slot[]): readonly { readonly slot: Slot; readonly rank: SlotRank; }[] {
         return slots
-            .map(slot => ({ slot, rank: this.rankSlot(slot), others: this.countOthers(slot) }))
-            .filter(({ slot, rank }) => rank === Rank.unproven || hasRoom(slot))
+            .map(slot => ({ slot, rank: this.rankSlot(slot), others: this.countOtherRuns(slot) }))
+            .filter(({ slot, rank }) => rank === SlotRank.unproven || hasFreeCapacity(slot))
             .sort((left, right) => left.rank - right.rank || left.others - right.others);
     }
 
-    private rankSlot(slot: Slot): Rank {
+    private rankSlot(slot: Slot): SlotRank {
         const runs = [...slot.worker.runs.values()];
         if (runs.length === 0) {
-            return Rank.idle;
+            return SlotRank.idle;
         }
         if (runs.some(run => this.isRisky(run.queue) && !this.isProven(run))) {
-            return Rank.unproven;
+            return SlotRank.unproven;
         }
-        return this.countOthers(slot) === 0 ? Rank.own : Rank.mixed;
+        return this.countOtherRuns(slot) === 0 ? SlotRank.own : SlotRank.mixed;
     }
 
-    private countOthers({ worker }: Slot): number {
+    private countOtherRuns({ worker }: Slot): number {
         return [...worker.runs.values()].filter(run => !this.isRisky(run.queue)).length;
     }
 
-    private addExtra(kept: Kept, others: readonly Slot[]): readonly Slot[] {
-        const [best] = kept.extra > 0 ? this.rankSlots(others) : [];
+    private addExtraWorker(budget: StepBudget, others: readonly Slot[]): readonly Slot[] {
+        const [best] = budget.extraWorkers > 0 ? this.rankSlots(others) : [];
         if (best === undefined) {
             return [];
         }
-        kept.extra -= 1;
-        this.keptSlots.add(best.slot);
+        budget.extraWorkers -= 1;
+        this.dedicatedSlots.add(best.slot);
         return [best.slot];
     }
 
-    /** Tells whether nothing but the step itself, and runs of risky queues that have proven harmless, is on a worker. */
-    private isHarmless(slot: Slot, step: Step): boolean {
-        return slot.isUntakenBut(step) &&
+    /**
+     * Tells whether only the step itself, and runs of risky queues that have proven harmless, are on a
+     * worker.
+     */
+    private isSafe(slot: Slot, step: Step): boolean {
+        return slot.isUntouchedExceptFor(step) &&
             [...slot.worker.runs.values()].every(run =>
                 run.step === step.name || this.isRisky(run.queue) && this.isProven(run)
             );
@@ -283,6 +293,6 @@
     }
 }
 
-function hasRoom({ free, capacity }: Slot): boolean {
+function hasFreeCapacity({ free, capacity }: Slot): boolean {
     return free.cpuMillis >= capacity.cpuMillis * MIN_FREE_SHARE;
 }
--- a/src/process/dispatch/run-time-model.ts
+++ b/src/process/dispatch/run-time-model.ts
@@ -1,14 +1,17 @@
-/** How long tasks will run, from callers' estimates and what earlier tasks of the same queue took. */
+/**
+ * Estimates how long tasks will run, from callers' estimates and the run times of earlier tasks of the same
+ * queue.
+ */
 import type { Millis } from "../../common/clock.js";
 
-/** Samples before a queue's own figures are used; below, the caller's estimate stands. */
+/** Samples from which a queue's own figures are used; with fewer, the caller's estimate stands. */
 const MIN_SAMPLES = 20;
-/** Weight that each sample loses with every later one: about the last 200 count. */
+/** Factor by which a sample's weight falls with every later one: about the last 200 count. */
 const DECAY = 0.995;
-/** Estimates and run times of zero would have no logarithm. */
-const SHORTEST_MS: Millis = 1;
+/** Lower bound of estimates and run times, as zero has no logarithm. */
+const MIN_TIME_MS: Millis = 1;
 
-/** Sums over the samples of one queue, of logarithms of estimates (x) and of run times (y). */
+/** Weighted sums over the samples of one queue: logarithms of estimates (x) and of run times (y). */
 interface Sums {
     weight: number;
     x: number;
@@ -19,19 +22,20 @@
 }
 
 /**
- * A line through the logarithms of estimates and run times, for each queue.
+ * Linear regression of the logarithms of run times on those of estimates, for each queue.
  *
- * @remarks The load this answers: estimates that are off by a factor of two either way. Taken at their word, a job whose
- * estimate is too low seems too late to be worth serving while there is still time. Where estimates say little the line
- * is flat and the queue's usual run time is expected; where they are good it follows them.
+ * @remarks Estimates are off by a factor of two either way. Taken literally, an estimate that is too low
+ * gives its job a short objective, so that the job seems too late to be worth serving while there is still
+ * time. Where estimates say little the line is flat and the queue's usual run time is expected; where they
+ * are good the line follows them.
  */
 export class RunTimeModel {
     private readonly queues = new Map<string, Sums>();
 
-    /** Takes in a run that did all its work at once. */
+    /** Records a run that did all of its task's work, without a checkpoint in between. */
     observe(queue: string, estimateMs: Millis, tookMs: Millis): void {
-        const x = Math.log(Math.max(SHORTEST_MS, estimateMs));
-        const y = Math.log(Math.max(SHORTEST_MS, tookMs));
+        const x = Math.log(Math.max(MIN_TIME_MS, estimateMs));
+        const y = Math.log(Math.max(MIN_TIME_MS, tookMs));
         const old = this.queues.get(queue) ?? { weight: 0, x: 0, y: 0, xx: 0, xy: 0, count: 0 };
         this.queues.set(queue, {
             weight: old.weight * DECAY + 1,
@@ -43,7 +47,7 @@
         });
     }
 
-    /** Returns the run time to expect. */
+    /** Returns the expected run time. */
     estimate(queue: string, estimateMs: Millis): Millis {
         const sums = this.queues.get(queue);
         if (sums === undefined || sums.count < MIN_SAMPLES) {
@@ -52,10 +56,10 @@
         const { weight, x, y, xx, xy } = sums;
         const meanX = x / weight;
         const meanY = y / weight;
-        const spread = xx / weight - meanX * meanX;
-        const together = xy / weight - meanX * meanY;
-        const slope = spread <= 0 ? 0 : Math.min(1, Math.max(0, together / spread));
-        const log = Math.log(Math.max(SHORTEST_MS, estimateMs));
+        const variance = xx / weight - meanX * meanX;
+        const covariance = xy / weight - meanX * meanY;
+        const slope = variance <= 0 ? 0 : Math.min(1, Math.max(0, covariance / variance));
+        const log = Math.log(Math.max(MIN_TIME_MS, estimateMs));
         return Math.exp(meanY + slope * (log - meanX));
     }
 }
--- a/src/process/dispatch/waiting-step.ts
+++ b/src/process/dispatch/waiting-step.ts
@@ -1,4 +1,4 @@
-/** A step on its way through a planning pass. */
+/** A waiting step in a planning pass. */
 import type { Step, Task } from "../jobs/job.js";
 import { isSuspect } from "../jobs/worker-losses.js";
 import type { StepPermits } from "./permits.js";
@@ -11,38 +11,38 @@
     readonly slot: Slot;
 }
 
-/** A step on its way through a pass. */
+/** A waiting step and what a pass knows about it. */
 export interface WaitingStep {
     readonly urgency: Urgency;
     readonly step: Step;
     readonly pool: PoolView;
-    /** Undefined where the queue needs none. */
+    /** Undefined if the queue needs no permits. */
     readonly permits: StepPermits | undefined;
-    /** Workers that may run it, also those whose permit has run out. */
+    /** Workers that may run it, including those whose permit has expired. */
     readonly candidates: readonly Slot[];
     /** Its tasks that may start now. */
     readonly startable: readonly Task[];
 }
 
-/** What a step asks. */
-export interface Question {
-    /** Workers that it may name. */
+/** What a permit request is made from. */
+export interface RequestScope {
+    /** Workers that the request may name. */
     readonly slots: readonly Slot[];
-    /** Share of them that will probably be allowed and still have room then. */
+    /** Share of them that will probably be allowed and still have capacity when the answer arrives. */
     readonly allowedShare: number;
-    readonly hasRoom: boolean;
+    readonly hasCapacity: boolean;
     /** Workers on which tasks were placed that wait for a permit. */
     readonly chosen: ReadonlySet<Slot>;
 }
 
-/** Puts the tasks that must run alone first: they need workers on which nothing else was put. */
-export function putSuspectsFirst(tasks: readonly Task[]): readonly Task[] {
+/** Sorts the tasks that must run exclusively first, as they need workers on which nothing else was placed. */
+export function sortSuspectsFirst(tasks: readonly Task[]): readonly Task[] {
     return tasks.some(isSuspect) ?
         [...tasks].sort((left, right) => Number(isSuspect(right)) - Number(isSuspect(left))) :
         tasks;
 }
 
-/** Lists the workers that a step's permits name, also those whose permit has run out. */
+/** Lists the workers that the advice service allows for a step, including those whose permit has expired. */
 export function listAllowed(step: Step, pool: PoolView, permits: StepPermits): readonly Slot[] {
     const allowed: Slot[] = [];
     for (const workerId of permits.listAllowed()) {
--- a/src/process/dispatch/worker-session.ts
+++ b/src/process/dispatch/worker-session.ts
@@ -1,8 +1,9 @@
 /**
- * The leader's conversation with one life of a worker: reports that also renew the lease, and orders.
+ * The leader's session with one incarnation of a worker: report requests, which also renew the lease, and
+ * orders.
  *
- * @remarks The loop asks for the next report as soon as the last one is handled. The worker holds its answer back
- * until something ends, so an end is known within milliseconds at the price of one call.
+ * @remarks The next report is requested as soon as the last one is handled. The worker holds its answer back
+ * until a run ends, so an end is known within milliseconds at the cost of one call.
  */
 import { sleep } from "../../common/clock.js";
 import type { Clock, Millis } from "../../common/clock.js";
@@ -18,38 +19,38 @@
     WorkerReport,
 } from "../ports/task-worker-port.js";
 import type { Log, Metrics } from "../telemetry.js";
-import { callTwice } from "./repeated-call.js";
+import { callHedged } from "./hedged-call.js";
 
-/** What a session tells the leader. */
+/** Receives a session's events and supplies its parameters. */
 export interface SessionListener {
     /**
-     * A report; the first one of a session shows what earlier leaders left there.
-     * @param ended - Its ends that no earlier report of the session held.
+     * Handles a report; the first one of a session shows the runs that earlier leaders started.
+     * @param ended - Its ended runs that no earlier report of the session listed.
      */
     handleReport(report: WorkerReport, ended: readonly EndedRun[], isFirst: boolean): void;
-    /** Whether the worker can be given work has changed. */
-    handleReachable(isReachable: boolean): void;
-    /** A call failed well before its timeout, as where the worker's process has ended. */
-    handleBroken(): void;
-    /** This life is over: another one answers at its address. */
+    /** The worker became reachable or unreachable. */
+    handleReachabilityChange(isReachable: boolean): void;
+    /** A call failed well before its timeout, as when the worker's process has ended. */
+    handleConnectionFailure(): void;
+    /** This incarnation has ended: another one answers at its address. */
     handleReplaced(): void;
     /** The worker follows a later leader. */
     handleFenced(): void;
-    /** The worker's clock ran ahead of ours by this much: this process was suspended. */
+    /** The worker's clock advanced by this much more than the leader's: this process was suspended. */
     handleSuspended(gap: Millis): void;
     /** Whether this leader may still extend leases: see `authority.ts`. */
-    mayExtend(): boolean;
+    mayExtendLeases(): boolean;
     /** Least time between two reports. */
     computeReportGap(): Millis;
     /** How long the worker may hold its next report back: see `lost-answers.ts`. */
     computeReportWait(): Millis;
-    /** After how long without an answer a call is made again. */
-    computeRepeatDelay(): Millis;
+    /** Time without an answer after which a call is hedged: see `hedged-call.ts`. */
+    computeHedgeDelay(): Millis;
     /** The worker left a call unanswered and answered a later one. */
     handleLostAnswer(): void;
 }
 
-/** What a session is made from. */
+/** Parts and parameters of a session. */
 export interface SessionOptions {
     readonly worker: WorkerIdentity;
     readonly port: TaskWorkerPort;
@@ -57,54 +58,60 @@
     readonly log: Log;
     readonly metrics: Metrics;
     readonly epoch: number;
-    /** Length of the leases given. */
+    /** Length of the leases that this leader grants. */
     readonly leaseMs: Millis;
-    /** Until when, on our clock, leases given by earlier leaders may run. */
+    /** Until when, on the leader's clock, leases granted by earlier leaders may last. */
     readonly inheritedLeaseEnd: Millis;
     readonly listener: SessionListener;
 }
 
-/** Longest wait for ends to be durable before the lease is renewed without it. */
+/** Longest time to wait until ended runs are durable before the lease is renewed regardless. */
 const DURABLE_WAIT_MS: Millis = 700;
-/** Time for the answer on top of what the worker may wait: one way is under 4 ms, a busy worker takes longer. */
+/**
+ * Time for the answer on top of the time that the worker may hold it: one way takes less than 4 ms, longer on
+ * a busy worker.
+ */
 const ANSWER_MARGIN_MS: Millis = 500;
 const RETRY_PAUSE_MS: Millis = 100;
-/** A call that fails within this time of its timeout may have timed out. */
+/** A call that fails within this time before its timeout may have timed out. */
 const TIMEOUT_SLACK_MS: Millis = 100;
-/** Reports that fail one after the other before the worker gets no new work. */
-const MAX_FAILURES = 1;
-/** Time for an order's answer. What was not answered by then is settled by the reports. */
+/** Consecutive failed report requests after which the worker gets no new work. */
+const UNREACHABLE_FAILURES = 1;
+/** Timeout of an order. The outcome of one that was not answered by then is known from the reports. */
 const ORDER_TIMEOUT_MS: Millis = 600;
-/** A worker's clock that gains more than this between two reports shows that this process stood still. */
+/** If a worker's clock gains more than this between two reports, this process was suspended. */
 const SUSPENSION_MS: Millis = 1_000;
-/** A worker's clock may be slower than ours by 2%; another 1% and this constant cover the estimate of its time. */
+/**
+ * A worker's clock may be slower than the leader's by 2%; another 1% and the margin cover the estimate of its
+ * time.
+ */
 const CLOCK_FACTOR = 1.03;
 const CLOCK_MARGIN_MS: Millis = 300;
 
-/** Returns when a lease given now has surely run out, as a duration on our clock. */
+/** Returns the time on the leader's clock after which a lease granted now has certainly expired. */
 export function computeLeaseBound(leaseMs: Millis): Millis {
     return leaseMs * CLOCK_FACTOR + CLOCK_MARGIN_MS;
 }
 
-/** A session; see the module comment. */
+/** The leader's session with one incarnation of a worker. */
 export class WorkerSession {
-    /** Highest end that is durable. */
-    private seenEnd = 0;
-    /** Highest end that the listener was told of. */
-    private handledEnd = 0;
-    /** Lets the loop go on once the ends that it was told of are durable. */
-    private durable = new Signal();
-    private offset: Millis | undefined;
+    /** Number up to which ended runs are durable. */
+    private durableEnd = 0;
+    /** Highest number of an ended run that was passed to the listener. */
+    private reportedEnd = 0;
+    /** Notified once all ended runs that were passed to the listener are durable. */
+    private endsDurable = new Signal();
+    private clockOffset: Millis | undefined;
     private leaseEnd: Millis;
     private lastWorkerNow: Millis = 0;
-    private heardAt: Millis = -Infinity;
-    /** When the last order was sent that the worker answered. */
-    private orderAnsweredAt: Millis = -Infinity;
-    private isFirst = true;
+    private lastReportAt: Millis = -Infinity;
+    /** When the latest order that the worker answered was sent. */
+    private lastAnsweredOrderAt: Millis = -Infinity;
+    private isFirstReport = true;
     private areLeasesAllowed = false;
     private readonly leasesAllowed = new Signal();
     /** Whether the last request extended the lease. */
-    private wasLeaseAsked = false;
+    private didRequestLease = false;
     private isReachable = false;
     private failures = 0;
     private closed = false;
@@ -113,26 +120,29 @@
         this.leaseEnd = options.inheritedLeaseEnd;
     }
 
-    /** Returns when, on our clock, all leases on this worker have surely run out unless it is heard again. */
+    /**
+     * Returns the time on the leader's clock at which all leases on this worker have certainly expired unless
+     * another one is granted.
+     */
     getLeaseEnd(): Millis {
         return this.leaseEnd;
     }
 
-    /** Returns the last instant, on our clock, at which the worker is known to have been at work. */
-    getAliveAt(): Millis {
-        return Math.max(this.heardAt, this.orderAnsweredAt);
+    /** Returns the last time, on the leader's clock, at which the worker is known to have been running. */
+    getLastContactAt(): Millis {
+        return Math.max(this.lastReportAt, this.lastAnsweredOrderAt);
     }
 
-    /** Returns the worker's time now, at most; undefined before the first report. */
+    /** Returns an upper bound of the worker's current time; undefined before the first report. */
     estimateWorkerNow(): Millis | undefined {
-        return this.offset === undefined ? undefined : this.options.clock.now() + this.offset;
+        return this.clockOffset === undefined ? undefined : this.options.clock.now() + this.clockOffset;
     }
 
-    /** Runs until closed. */
+    /** Requests reports until the session is closed. */
     async run(): Promise<void> {
         while (!this.closed) {
             const { clock, listener } = this.options;
-            if (!listener.mayExtend()) {
+            if (!listener.mayExtendLeases()) {
                 this.setReachable(false);
                 await sleep(clock, RETRY_PAUSE_MS);
                 continue;
@@ -143,21 +153,20 @@
         }
     }
 
-    /** Lets the session extend leases, which it does not until a later leader would know of it. */
+    /** Lets the session extend leases. Called once a later leader would learn of them. */
     grantLeases(): void {
         this.areLeasesAllowed = true;
         this.leasesAllowed.notify();
     }
 
-    /** Takes in that ends up to a number are durable: the worker may forget them. */
-    acceptDurable(number: number): void {
-        this.seenEnd = Math.max(this.seenEnd, number);
-        if (this.seenEnd >= this.handledEnd) {
-            this.durable.notify();
+    /** Records that ended runs up to a number are durable, so that the worker may forget them. */
+    acknowledgeEnds(number: number): void {
+        this.durableEnd = Math.max(this.durableEnd, number);
+        if (this.durableEnd >= this.reportedEnd) {
+            this.endsDurable.notify();
         }
     }
 
-    /** Ends the session. */
     close(): void {
         if (!this.closed) {
             this.closed = true;
@@ -169,25 +178,25 @@
         return this.closed;
     }
 
-    /** Sends an order to start a run. */
+    /** Orders the worker to start a run. */
     start(order: Omit<StartOrder, "epoch">): Promise<WorkerAnswer<Millis>> {
         const { port, worker, epoch, clock } = this.options;
-        // The order's deadline is a lease too: a worker that goes silent before a report request has renewed one runs the
-        // task until then, and must not be taken for free of it.
-        const lifeMs = order.workerDeadline - (this.estimateWorkerNow() ?? order.workerDeadline);
-        this.leaseEnd = Math.max(this.leaseEnd, clock.now() + computeLeaseBound(lifeMs));
+        // The order's deadline acts as a lease: a worker that becomes silent before a report request has
+        // renewed a lease runs the task until then, and must not count as free of it.
+        const remainingMs = order.workerDeadline - (this.estimateWorkerNow() ?? order.workerDeadline);
+        this.leaseEnd = Math.max(this.leaseEnd, clock.now() + computeLeaseBound(remainingMs));
         const send = (): Promise<WorkerAnswer<Millis>> =>
             port.start(worker, { ...order, epoch }, ORDER_TIMEOUT_MS);
-        return this.order(
+        return this.sendOrder(
             "start",
-            () => this.callAgainIfSilent(send, send, this.options.listener.computeRepeatDelay()),
+            () => this.callWithHedge(send, send, this.options.listener.computeHedgeDelay()),
         );
     }
 
-    /** Sends an order to stop a run. */
+    /** Orders the worker to stop a run. */
     stop(order: Omit<RunOrder, "epoch">): Promise<WorkerAnswer<Millis>> {
         const { port, worker, epoch } = this.options;
-        return this.order("stop", () => port.stop(worker, { ...order, epoch }, ORDER_TIMEOUT_MS));
+        return this.sendOrder("stop", () => port.stop(worker, { ...order, epoch }, ORDER_TIMEOUT_MS));
     }
 
     private async pauseAfterReport(sentAt: Millis): Promise<void> {
@@ -201,45 +210,46 @@
         else if (!this.areLeasesAllowed) {
             await Promise.race([this.leasesAllowed.wait(), sleep(clock, RETRY_PAUSE_MS)]);
         }
-        else if (this.wasLeaseAsked) {
-            await this.waitForEnds();
+        else if (this.didRequestLease) {
+            await this.waitForDurableEnds();
             await sleep(clock, Math.max(0, sentAt + listener.computeReportGap() - clock.now()));
         }
     }
 
     /**
-     * Waits until the ends of the last report are durable.
+     * Waits until the ended runs of the last report are durable.
      *
-     * @remarks A worker answers at once while it has ends that it may not forget. Asked again before that, it is asked
-     * every few milliseconds for as long as the store takes, which used up the leader's processor time.
+     * @remarks A worker answers at once while it has ended runs that it may not forget. Without this wait it
+     * would be asked every few milliseconds for as long as the store takes, which used up the leader's
+     * processor time.
      */
-    private async waitForEnds(): Promise<void> {
-        if (this.seenEnd >= this.handledEnd) {
+    private async waitForDurableEnds(): Promise<void> {
+        if (this.durableEnd >= this.reportedEnd) {
             return;
         }
-        this.durable = new Signal();
-        await Promise.race([this.durable.wait(), sleep(this.options.clock, DURABLE_WAIT_MS)]);
+        this.endsDurable = new Signal();
+        await Promise.race([this.endsDurable.wait(), sleep(this.options.clock, DURABLE_WAIT_MS)]);
     }
 
-    /** Makes a call, and once more if no answer comes soon. */
-    private callAgainIfSilent<Value>(
+    /** Makes a call, and a second one if no answer comes within `hedgeDelayMs`. */
+    private callWithHedge<Value>(
         sendFirst: () => Promise<WorkerAnswer<Value>>,
         sendAgain: () => Promise<WorkerAnswer<Value>>,
-        patienceMs: Millis,
+        hedgeDelayMs: Millis,
     ): Promise<WorkerAnswer<Value>> {
         const { clock, listener, metrics } = this.options;
-        return callTwice({
+        return callHedged({
             clock,
             sendFirst,
             sendAgain,
-            patienceMs,
+            hedgeDelayMs,
             isWanted: () => !this.closed,
-            handleRepeated: () => metrics.count("worker.callsRepeated"),
+            handleHedged: () => metrics.count("worker.callsRepeated"),
             handleLostAnswer: () => listener.handleLostAnswer(),
         });
     }
 
-    private async order(
+    private async sendOrder(
         name: string,
         send: () => Promise<WorkerAnswer<Millis>>,
     ): Promise<WorkerAnswer<Millis>> {
@@ -248,13 +258,13 @@
         const answer = await send();
         metrics.time(`worker.${name}`, clock.now() - sentAt);
         if (answer.kind === "notSent") {
-            this.checkIfBroken(sentAt, ORDER_TIMEOUT_MS);
+            this.checkConnection(sentAt, ORDER_TIMEOUT_MS);
         }
         if (answer.kind === "done" || answer.kind === "refused") {
-            this.orderAnsweredAt = Math.max(this.orderAnsweredAt, sentAt);
+            this.lastAnsweredOrderAt = Math.max(this.lastAnsweredOrderAt, sentAt);
         }
         if (!this.closed) {
-            this.handleEnd(answer);
+            this.handleFinalAnswer(answer);
         }
         return answer;
     }
@@ -262,23 +272,24 @@
     private async requestReport(sentAt: Millis): Promise<void> {
         const { port, worker, epoch, leaseMs } = this.options;
         const now = this.estimateWorkerNow();
-        // A request without an answer may still be carried out. If each one extended the lease, the lease of a worker
-        // that went silent would never surely run out, and its tasks would wait for it for ever.
+        // A request without an answer may still be carried out. If each one extended the lease, the lease of
+        // a silent worker would never certainly expire, and its tasks would wait for it forever.
         const mayLease = this.areLeasesAllowed && now !== undefined && this.failures === 0;
         const workerDeadline = mayLease ? Math.floor(now + leaseMs) : undefined;
-        // Until leases may be extended the answer is wanted at once, and an unsure worker is asked for a sign of life.
+        // Until leases may be extended the answer is wanted at once, and a worker whose last request failed
+        // has to show that it is running.
         const waitMs = mayLease ? this.options.listener.computeReportWait() : 0;
-        const repeatMs = this.options.listener.computeRepeatDelay();
-        this.wasLeaseAsked = mayLease;
+        const hedgeDelayMs = this.options.listener.computeHedgeDelay();
+        this.didRequestLease = mayLease;
         if (workerDeadline !== undefined) {
             this.leaseEnd = Math.max(this.leaseEnd, sentAt + computeLeaseBound(leaseMs));
         }
-        const request = { epoch, seenEnd: this.seenEnd, workerDeadline, waitMs };
-        const answer = await this.callAgainIfSilent(
+        const request = { epoch, seenEnd: this.durableEnd, workerDeadline, waitMs };
+        const answer = await this.callWithHedge(
             () => port.report(worker, request, waitMs + ANSWER_MARGIN_MS),
-            // The lease ends when the first request would have it end, so the bound above stays true.
-            () => port.report(worker, { ...request, waitMs: 0 }, ANSWER_MARGIN_MS - repeatMs),
-            waitMs + repeatMs,
+            // Both requests carry the same deadline, so the lease end computed above stays an upper bound.
+            () => port.report(worker, { ...request, waitMs: 0 }, ANSWER_MARGIN_MS - hedgeDelayMs),
+            waitMs + hedgeDelayMs,
         );
         if (this.closed) {
             return;
@@ -288,35 +299,35 @@
             this.acceptReport(answer.value);
             return;
         }
-        if (!this.handleEnd(answer)) {
+        if (!this.handleFinalAnswer(answer)) {
             this.countFailure(answer);
-            this.checkIfBroken(sentAt, waitMs + ANSWER_MARGIN_MS);
+            this.checkConnection(sentAt, waitMs + ANSWER_MARGIN_MS);
         }
     }
 
     private acceptReport(report: WorkerReport): void {
         const { clock, listener } = this.options;
-        // Answers on several connections may overtake each other; an older one tells nothing new.
+        // Answers on several connections may overtake each other; an older one carries nothing new.
         if (report.workerNow < this.lastWorkerNow) {
             return;
         }
         this.lastWorkerNow = report.workerNow;
-        this.heardAt = clock.now();
+        this.lastReportAt = clock.now();
         const offset = report.workerNow - clock.now();
-        if (this.offset !== undefined && offset - this.offset > SUSPENSION_MS) {
-            listener.handleSuspended(offset - this.offset);
+        if (this.clockOffset !== undefined && offset - this.clockOffset > SUSPENSION_MS) {
+            listener.handleSuspended(offset - this.clockOffset);
         }
-        this.offset = offset;
-        const { isFirst, handledEnd } = this;
-        this.isFirst = false;
-        this.handledEnd = Math.max(handledEnd, report.ended.at(-1)?.number ?? 0);
-        const ended = report.ended.filter(end => end.number > handledEnd);
-        listener.handleReport(report, ended, isFirst);
+        this.clockOffset = offset;
+        const { isFirstReport, reportedEnd } = this;
+        this.isFirstReport = false;
+        this.reportedEnd = Math.max(reportedEnd, report.ended.at(-1)?.number ?? 0);
+        const ended = report.ended.filter(end => end.number > reportedEnd);
+        listener.handleReport(report, ended, isFirstReport);
         this.setReachable(true);
     }
 
-    /** Handles answers that end the session; tells whether it was one. */
-    private handleEnd(answer: WorkerAnswer<unknown>): boolean {
+    /** Handles answers that end the session; returns whether this was one. */
+    private handleFinalAnswer(answer: WorkerAnswer<unknown>): boolean {
         if (answer.kind === "replaced") {
             this.close();
             this.options.listener.handleReplaced();
@@ -330,18 +341,18 @@
         return false;
     }
 
-    /** A call that a silent worker leaves unanswered fails at its timeout. */
-    private checkIfBroken(sentAt: Millis, timeoutMs: Millis): void {
+    /** Reports a call that failed early. A call to a silent worker fails only at its timeout. */
+    private checkConnection(sentAt: Millis, timeoutMs: Millis): void {
         const { clock, listener } = this.options;
         if (clock.now() - sentAt < timeoutMs - TIMEOUT_SLACK_MS) {
-            listener.handleBroken();
+            listener.handleConnectionFailure();
         }
     }
 
     private countFailure(answer: WorkerAnswer<unknown>): void {
         this.failures += 1;
         this.options.metrics.count("worker.reportFailures");
-        if (this.failures >= MAX_FAILURES && this.isReachable) {
+        if (this.failures >= UNREACHABLE_FAILURES && this.isReachable) {
             this.setReachable(false);
             const { worker, log } = this.options;
             const reason = answer.kind === "refused" ? answer.reason : answer.kind;
@@ -352,7 +363,7 @@
     private setReachable(isReachable: boolean): void {
         if (this.isReachable !== isReachable) {
             this.isReachable = isReachable;
-            this.options.listener.handleReachable(isReachable);
+            this.options.listener.handleReachabilityChange(isReachable);
         }
     }
 }
--- a/src/process/dispatch/worker-state.ts
+++ b/src/process/dispatch/worker-state.ts
@@ -1,17 +1,17 @@
-/** What the leader holds of one worker: what it has, and every run that may be on it. */
+/** The leader's state of one worker: its capacity and every run that may be on it. */
 import type { Millis } from "../../common/clock.js";
 import { addResources, isWithin, NO_RESOURCES, removeResources } from "../../common/resources.js";
 import type { Resources } from "../../common/resources.js";
 import type { WorkerRecord } from "../ports/task-worker-port.js";
 
-/** How far a run is. */
+/** Progress of a run. */
 export const RunPhase = {
-    /** Room is taken; the assignment is not durable yet. */
+    /** Its demand is deducted; the assignment is not durable yet. */
     reserved: "reserved",
-    /** The order was sent; whether it was carried out is not known yet. */
+    /** The start order was sent; whether the worker carried it out is not known yet. */
     ordered: "ordered",
     running: "running",
-    /** It must end; its room is taken until its end is listed. */
+    /** It must end; its demand stays deducted until a report lists its end. */
     stopping: "stopping",
 } as const;
 export type RunPhase = (typeof RunPhase)[keyof typeof RunPhase];
@@ -21,103 +21,113 @@
     readonly task: string;
     readonly run: number;
     readonly step: string;
-    /** Queue of its job; empty where that is not known. */
+    /** Queue of its job; empty if unknown. */
     readonly queue: string;
-    /** What is kept for it: its need, or all that could be its own where that is not known. */
+    /**
+     * Resources deducted for it: its demand, or everything that could be its own if the demand is not known.
+     */
     demand: Resources;
-    /** False for a run whose job has ended: what the job needed is not kept. */
+    /** False for a run whose job has ended, as the job's specification is no longer kept. */
     readonly isDemandKnown: boolean;
     phase: RunPhase;
     /**
-     * On the worker's clock: a report from later that does not list the run shows that it is not there and never
-     * will be. It is the order's deadline, or when the worker answered that it runs or is stopped.
+     * On the worker's clock: a report from after this time that does not list the run proves that it is not
+     * on the worker and never will be. Either the deadline of its order, or the time at which the worker
+     * answered that it runs or is stopped.
      */
     settledAfter: Millis;
-    /** Whether the worker ever said that it runs. */
-    wasSeen: boolean;
+    /** Whether the worker ever reported it as running. */
+    wasReported: boolean;
     /** Whether an earlier leader ordered it. */
     readonly isInherited: boolean;
     /**
-     * Queues with a priority below this may have it stopped for more urgent work; undefined where that would lose what it
-     * has done.
+     * Queues with a priority number below this may have it preempted; undefined if stopping it would lose its
+     * progress.
      */
-    readonly yieldsBelow: number | undefined;
-    /** Whether it runs until it is stopped, so that its room does not come free. */
-    readonly isLasting: boolean;
-    /** Whether nothing else may run beside it: its task may crash the worker. */
+    readonly preemptibleBelow: number | undefined;
+    /** Whether it runs until it is stopped, so that its capacity does not come free by itself. */
+    readonly isOpenEnded: boolean;
+    /** Whether it must run exclusively, as its task may crash the worker. */
     readonly isExclusive: boolean;
-    /** Whether it was started to see whether its task crashes its worker. */
+    /** Whether it was started to find out if its task crashes the worker. */
     readonly isProbe: boolean;
-    /** Run time to expect; infinite where nothing is known of it. */
+    /** Expected run time; infinite if unknown. */
     readonly expectedMs: Millis;
     checkpoint: string;
-    /** When it was ordered, on our clock. */
+    /** When it was ordered, on the leader's clock. */
     orderedAt: Millis;
 }
 
-/** What is known of a run when its record is made; the rest is as for a run that was not seen yet. */
+/**
+ * The required fields of a new run's record; the others default to those of a run that was not reported yet.
+ */
 export type NewRun =
     & Pick<RunRecord, "task" | "run" | "step" | "demand" | "phase" | "settledAfter" | "orderedAt">
     & Partial<RunRecord>;
 
-/** Builds the record of a run. */
 export function buildRunRecord(run: NewRun): RunRecord {
     return {
         queue: "",
         isDemandKnown: true,
-        wasSeen: false,
+        wasReported: false,
         isInherited: false,
-        isLasting: false,
+        isOpenEnded: false,
         isExclusive: false,
         isProbe: false,
-        yieldsBelow: undefined,
+        preemptibleBelow: undefined,
         expectedMs: Infinity,
         checkpoint: "",
         ...run,
     };
 }
 
-/** Share of a new sample in a worker's speed: single run times are off by a factor of 1.6. */
+/** Weight of a new sample in a worker's slowness: single run times are off by a factor of 1.6. */
 const SPEED_GAIN = 0.15;
-/** Slow spells last for seconds; without new samples half of what was learnt is forgotten in this time. */
+/** Slow spells last for seconds; without new samples the slowness halves in this time. */
 const SLOWNESS_HALF_LIFE_MS: Millis = 10_000;
 
-/** A tenth of all runs take over twice what is expected of them, so those of two steps on one worker rarely do. */
+/**
+ * A tenth of all runs take more than twice their expected time, so runs of two steps on one worker rarely
+ * both do.
+ */
 const OVERDUE_FACTOR = 2;
-/** Reports of ends come up to a second late while a worker has nothing else to tell. */
+/** Reports of ended runs come up to one second late while a worker has nothing else to report. */
 const OVERDUE_MARGIN_MS: Millis = 500;
 const MIN_STALLED_STEPS = 2;
 const STALLED_SHARE = 0.6;
 
-/** Returns the key of a run. A task may have an older run on a worker that is out of reach. */
+/**
+ * Returns the key of a run. The run number is part of it, as a task may have an older run on an unreachable
+ * worker.
+ */
 export function makeRunKey(task: string, run: number): string {
     return `${task}#${run}`;
 }
 
 /**
- * A worker; see the module comment.
+ * State of one worker.
  *
- * @remarks Failure guarded against: workers that do not check admission start whatever they are told, so a run
- * that is forgotten too early lets the next one overload the worker. Room is given back only when the worker lists
- * the end, when the order surely came too late, or when the worker's lease has surely run out.
+ * @remarks Some workers start whatever they are ordered to, without admission checks, so forgetting a run too
+ * early would let the next one overload the worker. Capacity is released only when the worker reports the
+ * end, when the order certainly arrived too late, or when the worker's lease has certainly expired.
  */
 export class WorkerState {
     readonly runs = new Map<string, RunRecord>();
     free: Resources;
-    /** Whether its reports come, so that its runs are known. */
+    /** Whether it answers report requests, so that its runs are known. */
     isReachable = false;
-    /** Whether it is durable that this leader extends leases on it. */
+    /** Whether the record that this leader extends leases on it is durable. */
     isAdopted = false;
-    /** Whether it stands in the worker list. */
+    /** Whether it is in the worker list. */
     isListed = true;
-    /** A run beside which nothing may start; undefined where there is none. */
+    /** The run beside which nothing may start, if any. */
     exclusiveRun: RunRecord | undefined;
     private slowness = 0;
     private slownessAt: Millis = 0;
-    /** Until when, on our clock, it gets no new work because it refused or failed some. */
+    /** Until when, on the leader's clock, it gets no new work because it refused or failed some. */
     avoidedUntil: Millis = -Infinity;
 
-    /** @param record - What it registered. */
+    /** @param record - The worker's registration. */
     constructor(public record: WorkerRecord) {
         this.free = record.capacity;
     }
@@ -126,13 +136,20 @@
         return this.record.workerId;
     }
 
-    /** Takes in how a run's time compares with what was expected of it: the logarithm of the ratio. */
+    /**
+     * Updates the slowness from one run.
+     *
+     * @param logRatio - Logarithm of the run's time divided by its expected time.
+     */
     observeSpeed(logRatio: number, now: Millis): void {
         this.slowness = this.getSlowness(now) * (1 - SPEED_GAIN) + logRatio * SPEED_GAIN;
         this.slownessAt = now;
     }
 
-    /** Returns the logarithm of how much longer runs take here than elsewhere; it fades while nothing ends here. */
+    /**
+     * Returns the logarithm of how much longer runs take here than expected; it decays while no run ends
+     * here.
+     */
     getSlowness(now: Millis): number {
         return this.slowness * 0.5 ** ((now - this.slownessAt) / SLOWNESS_HALF_LIFE_MS);
     }
@@ -145,11 +162,11 @@
     }
 
     /**
-     * Tells whether most of what runs here has run far longer than expected.
+     * Tells whether most runs here have taken far longer than expected.
      *
-     * @remarks Failure guarded against: tasks on a worker stand still while it answers all calls. Nothing ends there, so
-     * its speed, which is learnt from ends, stays what it was, and whatever room it has goes on being filled. Tasks of one
-     * step are alike, so they count once: a single wrong estimate says nothing about the worker.
+     * @remarks A worker whose tasks stall may still answer all calls. No run ends there, so its slowness,
+     * which is derived from ended runs, does not change, and its free capacity would go on being filled.
+     * Tasks of one step are alike and count once, as a single wrong estimate says nothing about the worker.
      */
     isStalled(now: Millis): boolean {
         if (this.runs.size < MIN_STALLED_STEPS) {
@@ -168,14 +185,14 @@
         return running.size >= MIN_STALLED_STEPS && overdue.size >= running.size * STALLED_SHARE;
     }
 
-    /** Takes in a newer registration of the same life. */
+    /** Applies a newer registration of the same incarnation. */
     updateRecord(record: WorkerRecord): void {
         const used = removeResources(this.record.capacity, this.free);
         this.record = record;
         this.free = removeResources(record.capacity, used);
     }
 
-    /** Takes room for a run. */
+    /** Adds a run and deducts its demand from the free capacity. */
     addRun(run: RunRecord): void {
         this.runs.set(makeRunKey(run.task, run.run), run);
         this.free = removeResources(this.free, run.demand);
@@ -183,11 +200,11 @@
     }
 
     /**
-     * Gives a run's room back.
+     * Removes a run and releases its capacity.
      *
-     * @remarks Failure guarded against: two runs of a cancelled job are being stopped, and the first, for which all free
-     * room was kept, ends. The worker seems empty, and new work overloads it until the second has ended too. Runs whose
-     * need is not known keep their room together until the last of them has ended.
+     * @remarks Runs whose demand is not known together hold all capacity that was free, until the last of
+     * them has ended. If the first to end released it, the worker would seem empty while others, such as
+     * further runs of a cancelled job, are still being stopped, and new work would overload it.
      */
     removeRun(task: string, run: number): RunRecord | undefined {
         const key = makeRunKey(task, run);
@@ -197,12 +214,12 @@
         }
         this.runs.delete(key);
         this.exclusiveRun = this.exclusiveRun === record ? undefined : this.exclusiveRun;
-        const heir = record.isDemandKnown ? undefined : this.findRunOfUnknownDemand();
-        if (heir === undefined) {
+        const successor = record.isDemandKnown ? undefined : this.findRunOfUnknownDemand();
+        if (successor === undefined) {
             this.free = addResources(this.free, record.demand);
         }
         else {
-            heir.demand = addResources(heir.demand, record.demand);
+            successor.demand = addResources(successor.demand, record.demand);
         }
         return record;
     }
@@ -211,13 +228,12 @@
         return this.runs.get(makeRunKey(task, run));
     }
 
-    /** Tells whether less room is left than its runs take: its capacity has shrunk since they were given to it. */
-    isOverdrawn(): boolean {
+    /** Tells whether its runs exceed its capacity, which may have shrunk since they were placed. */
+    isOvercommitted(): boolean {
         return !isWithin(NO_RESOURCES, this.free);
     }
 
-    /** Counts the runs of a step here. */
-    countOfStep(step: string): number {
+    countRunsOfStep(step: string): number {
         let count = 0;
         for (const run of this.runs.values()) {
             count += run.step === step ? 1 : 0;
--- a/src/process/leader/crash-tracker.ts
+++ b/src/process/leader/crash-tracker.ts
@@ -2,7 +2,7 @@
 import type { Millis } from "../../common/clock.js";
 import { isLate } from "../../common/lateness.js";
 import { CrashRisk } from "../dispatch/crash-risk.js";
-import type { LostStart, QueueRisk } from "../dispatch/crash-risk.js";
+import type { QueueRisk, RunAtLoss } from "../dispatch/crash-risk.js";
 import type { ProbationInput, RiskyBacklog } from "../dispatch/probation.js";
 import { RunPhase } from "../dispatch/worker-state.js";
 import type { RunRecord, WorkerState } from "../dispatch/worker-state.js";
@@ -78,7 +78,7 @@
         }
         const runs = [...state.runs.values()]
             .filter(({ phase }) => phase === RunPhase.running)
-            .map(({ queue, task, orderedAt, isProbe }): LostStart => ({
+            .map(({ queue, task, orderedAt, isProbe }): RunAtLoss => ({
                 queue,
                 provenMs: Math.max(0, aliveAt - orderedAt),
                 isSuspect: isProbe || this.hasEarlyLoss(task),
@@ -121,7 +121,7 @@
         }
         this.riskyQueues = risky;
         metrics.gauge("queues.onProbation", risky.size);
-        return { risky, countAway: (pool, isExplained) => this.risk.countAway(pool, isExplained, now) };
+        return { risky, countCrashed: (pool, isExplained) => this.risk.countCrashed(pool, isExplained, now) };
     }
 
     /**
@@ -215,7 +215,7 @@
     private restoreRisk(): void {
         const { jobs } = this.context;
         for (const workerId of jobs.losses.listWorkers()) {
-            const runs = jobs.losses.listTasks(workerId).flatMap(({ name, losses }): readonly LostStart[] => {
+            const runs = jobs.losses.listTasks(workerId).flatMap(({ name, losses }): readonly RunAtLoss[] => {
                 const isEarly = losses.some(loss => loss.workerId === workerId && loss.isEarly);
                 const queue = jobs.findTask(name)?.step.job.queue;
                 return isEarly && queue !== undefined ? [{ queue, provenMs: 0, isSuspect: false }] : [];
--- a/src/process/leader/fleet.ts
+++ b/src/process/leader/fleet.ts
@@ -194,16 +194,17 @@
             inheritedLeaseEnd: this.inherited.computeLeaseEnd(record.workerId),
             listener: {
                 handleReport: (report, ended, isFirst) => this.handleReport(member, report, ended, isFirst),
-                handleReachable: isReachable => this.handleReachable(state, isReachable),
-                handleBroken: () => this.ends.crashes.observeWorkerEnd(state, session.getAliveAt()),
+                handleReachabilityChange: isReachable => this.handleReachable(state, isReachable),
+                handleConnectionFailure: () =>
+                    this.ends.crashes.observeWorkerEnd(state, session.getLastContactAt()),
                 handleReplaced: () => this.removeMember(member, RemovalReason.replaced),
                 handleFenced: () => context.handleDeposed("a worker follows a later leader"),
                 handleSuspended: gap => this.handleSuspended(gap),
-                mayExtend: () => context.authority.mayOrder(),
+                mayExtendLeases: () => context.authority.mayOrder(),
                 computeReportGap: () => REPORT_GAP_MS + computeExtraReportGap(context.lateness),
                 computeReportWait: () =>
                     this.lostAnswers.computeReportWait(context.clock.now(), this.members.size),
-                computeRepeatDelay: () => this.lostAnswers.computeRepeatDelay(context.clock.now()),
+                computeHedgeDelay: () => this.lostAnswers.computeHedgeDelay(context.clock.now()),
                 handleLostAnswer: () => this.handleLostAnswer(record.workerId),
             },
         });
@@ -263,7 +264,7 @@
         }
         const lastEnd = report.ended.at(-1)?.number;
         if (lastEnd !== undefined) {
-            this.context.runWhenCommitted(() => session.acceptDurable(lastEnd));
+            this.context.runWhenCommitted(() => session.acknowledgeEnds(lastEnd));
         }
         if (isFirst) {
             this.adopt(member);
@@ -299,7 +300,7 @@
             this.stopForeign(state, running, workerNow);
             return;
         }
-        record.wasSeen = true;
+        record.wasReported = true;
         if (running.checkpoint !== "") {
             record.checkpoint = running.checkpoint;
         }
@@ -366,7 +367,7 @@
         const { workerId, address } = state.record;
         this.context.log.info("workerRemoved", { workerId, address, reason });
         if (reason === RemovalReason.replaced) {
-            this.ends.crashes.observeWorkerEnd(state, session.getAliveAt());
+            this.ends.crashes.observeWorkerEnd(state, session.getLastContactAt());
         }
         if (state.runs.size > 0) {
             this.losses.expireAll(member, RunLoss.replaced);
--- a/src/process/leader/foreign-run.ts
+++ b/src/process/leader/foreign-run.ts
@@ -32,7 +32,7 @@
         isDemandKnown: step !== undefined,
         phase: RunPhase.running,
         settledAfter: workerNow,
-        wasSeen: true,
+        wasReported: true,
         isInherited: true,
         checkpoint: running.checkpoint,
         orderedAt: now,
--- a/src/process/leader/inherited-runs.ts
+++ b/src/process/leader/inherited-runs.ts
@@ -121,9 +121,9 @@
             // The first report carries the new epoch, after which orders of earlier leaders have no effect.
             settledAfter: 0,
             isInherited: true,
-            isLasting: step.spec.isLongRunning,
+            isOpenEnded: step.spec.isLongRunning,
             isExclusive: isSuspect(task),
-            yieldsBelow: this.context.findPreemptibleBelow(step),
+            preemptibleBelow: this.context.findPreemptibleBelow(step),
             checkpoint: task.checkpoint,
             orderedAt: this.context.clock.now(),
         });
--- a/src/process/leader/leader.ts
+++ b/src/process/leader/leader.ts
@@ -6,10 +6,10 @@
 import type { Lateness } from "../../common/lateness.js";
 import type { Random } from "../../common/random.js";
 import type { ClusterConfig } from "../../version/cluster-config.js";
-import { AdviceDesk } from "../dispatch/advice-desk.js";
-import type { AdviceCaller } from "../dispatch/advice-desk.js";
+import { AdviceDispatcher } from "../dispatch/advice-dispatcher.js";
+import type { AdviceCaller } from "../dispatch/advice-dispatcher.js";
 import { planStarts } from "../dispatch/planner.js";
-import { PreemptionLooks } from "../dispatch/preemption-looks.js";
+import { PreemptionAttempts } from "../dispatch/preemption-attempts.js";
 import type { Preemption } from "../dispatch/preemption.js";
 import { RunTimeModel } from "../dispatch/run-time-model.js";
 import { rankStep } from "../dispatch/urgency.js";
@@ -72,7 +72,7 @@
 
 /** Plans and starts work while this node leads. */
 export class Leader {
-    readonly advice: AdviceDesk;
+    readonly advice: AdviceDispatcher;
     private readonly context: LeaderContext;
     private readonly journal: Journal;
     private readonly queues: QueueSettings;
@@ -81,7 +81,7 @@
     private readonly jobRequests: JobRequestHandler;
     private readonly starter: Starter;
     private readonly runTimes = new RunTimeModel();
-    private readonly preemptionAttempts = new PreemptionLooks();
+    private readonly preemptionAttempts = new PreemptionAttempts();
     /** Duration of the last pass. */
     private passTookMs: Millis = 0;
     private readonly permits: PermitCoordinator;
@@ -98,7 +98,7 @@
         this.context = this.buildContext();
         this.journal = this.buildJournal();
         this.queues = new QueueSettings(this.context);
-        this.advice = new AdviceDesk(options.clock, options.log);
+        this.advice = new AdviceDispatcher(options.clock, options.log);
         this.permits = new PermitCoordinator(this.context, this.advice);
         this.ends = new RunEndHandler(this.context, this.runTimes);
         this.fleet = new Fleet(this.context, this.ends);
@@ -258,12 +258,12 @@
         const plan = planStarts({
             waiting: this.rankWaiting(),
             workersByPool,
-            unheardByPool: this.fleet.collectUnreported(),
+            unreportedByPool: this.fleet.collectUnreported(),
             getPermits: step => this.permits.getPermits(step),
-            preemptionLooks: this.preemptionAttempts,
+            preemptionAttempts: this.preemptionAttempts,
             getClaimedCpu: workerId => this.permits.claims.getCpu(workerId),
             getAllowedShare: queue => this.permits.allowedShares.getShare(queue),
-            isAdviceShort: this.advice.isShort(),
+            isAdviceOverloaded: this.advice.isOverloaded(),
             listRefusing: step => this.starter.refusals.listPaused(step, begin),
             probation: this.ends.crashes.getProbation(),
             isPaused: task => this.ends.crashes.isPaused(task),
@@ -271,10 +271,10 @@
         });
         this.ends.crashes.setBacklogs(plan.backlogs);
         this.starter.startAll(plan.starts);
-        this.permits.requestPermits(plan.wishes, begin, countWorkers(workersByPool));
+        this.permits.requestPermits(plan.permitRequests, begin, countWorkers(workersByPool));
         plan.preemptions.forEach(preemption => this.preemptRun(preemption));
         this.lastPassAt = begin;
-        this.reservingGangs = plan.keepers;
+        this.reservingGangs = plan.reservingGangs;
         this.passTookMs = clock.now() - begin;
         metrics.time("plan.took", this.passTookMs);
     }
--- a/src/process/leader/lost-runs.ts
+++ b/src/process/leader/lost-runs.ts
@@ -31,10 +31,10 @@
 
     /** Records the end of a run that was removed from its worker's state. */
     record({ state, session }: FleetMember, record: RunRecord, cause: RunLoss): void {
-        const { task, run, checkpoint, phase, wasSeen, isInherited, orderedAt } = record;
+        const { task, run, checkpoint, phase, wasReported, isInherited, orderedAt } = record;
         // A worker that answers has shown whether the run ever began; on a worker that is gone, an ordered
         // run may have.
-        const hasBegun = cause === RunLoss.absent ? wasSeen : phase !== RunPhase.reserved;
+        const hasBegun = cause === RunLoss.absent ? wasReported : phase !== RunPhase.reserved;
         if (!hasBegun) {
             this.ends.recordEnd({ state, task, run, end: RunEnd.notRun, checkpoint });
             return;
@@ -64,6 +64,6 @@
  * Computes how long a run is known to have been executing: from its order or adoption to its worker's last
  * answer.
  */
-function computeProvenMs({ wasSeen, orderedAt }: RunRecord, session: WorkerSession): Millis {
-    return wasSeen ? Math.max(0, session.getAliveAt() - orderedAt) : 0;
+function computeProvenMs({ wasReported, orderedAt }: RunRecord, session: WorkerSession): Millis {
+    return wasReported ? Math.max(0, session.getLastContactAt() - orderedAt) : 0;
 }
--- a/src/process/leader/permit-coordinator.ts
+++ b/src/process/leader/permit-coordinator.ts
@@ -1,10 +1,10 @@
 /** Requests advice about the workers of each step, and stores the permits that the advice service grants. */
 import type { Millis } from "../../common/clock.js";
-import type { AdviceDesk, AdviceQuestion } from "../dispatch/advice-desk.js";
-import { REFRESH_MS, StepPermits } from "../dispatch/permits.js";
-import type { PermitWish } from "../dispatch/plan.js";
-import { AllowedShares } from "../dispatch/question-size.js";
-import { RoomClaims } from "../dispatch/room-claims.js";
+import type { AdviceDispatcher, AdviceRequest } from "../dispatch/advice-dispatcher.js";
+import { CapacityClaims } from "../dispatch/capacity-claims.js";
+import { REQUEST_REFRESH_MS, StepPermits } from "../dispatch/permits.js";
+import type { PermitRequest } from "../dispatch/plan.js";
+import { AllowedShares } from "../dispatch/request-size.js";
 import type { Step } from "../jobs/job.js";
 import type { AdviceAnswer } from "../ports/task-worker-port.js";
 import type { LeaderContext } from "./context.js";
@@ -29,12 +29,12 @@
  */
 export class PermitCoordinator {
     /** Capacity that steps with a request in flight will probably use. */
-    readonly claims = new RoomClaims();
+    readonly claims = new CapacityClaims();
     /** Share of the workers in a request that the advice service allows, by queue. */
     readonly allowedShares = new AllowedShares();
     private readonly permits = new WeakMap<Step, StepPermits>();
     /** Requests that were not sent to a node yet. */
-    private readonly waiting = new Map<Step, AdviceQuestion>();
+    private readonly waiting = new Map<Step, AdviceRequest>();
     /** Number of requests that were queued or replaced. */
     private requestCount = 0;
     /** Number of workers among which a request chooses. */
@@ -44,7 +44,7 @@
     /** @param advice - Distributes requests over the nodes. */
     constructor(
         private readonly context: Pick<LeaderContext, "clock" | "log" | "metrics" | "requestPass">,
-        private readonly advice: AdviceDesk,
+        private readonly advice: AdviceDispatcher,
     ) {}
 
     /** Returns a step's permits; creates an empty set for an unknown step. */
@@ -71,7 +71,7 @@
      * the pass was not replaced by it, and would be withdrawn though its step still wants it.
      * @param workers - Number of workers among which each request chooses.
      */
-    requestPermits(permitRequests: readonly PermitWish[], now: Millis, workers = 0): void {
+    requestPermits(permitRequests: readonly PermitRequest[], now: Millis, workers = 0): void {
         this.workerCount = workers;
         const stale = this.takeStale(now);
         if (permitRequests.length === 0 && stale.length === 0) {
@@ -80,10 +80,10 @@
         // A step may request renewals and new workers in one pass: a request with capacity wins, then the
         // first.
         const ordered = [...permitRequests].sort((left, right) =>
-            Number(right.hasRoom) - Number(left.hasRoom)
+            Number(right.hasCapacity) - Number(left.hasCapacity)
         );
         ordered.forEach(permitRequest => this.addRequest(permitRequest, now));
-        stale.filter(step => !this.waiting.has(step)).forEach(step => this.getPermits(step).endQuestion());
+        stale.filter(step => !this.waiting.has(step)).forEach(step => this.getPermits(step).endRequest());
         this.advice.replaceWaiting([...this.waiting.values()]);
     }
 
@@ -100,29 +100,29 @@
     private computeRefreshMs(): Millis {
         this.requestCount += 1;
         const spread = 1 + (this.requestCount % REFRESH_SPREAD) / REFRESH_SPREAD;
-        return Math.max(REFRESH_MS, this.waiting.size * this.workerCount * REFRESH_EACH_MS * spread);
+        return Math.max(REQUEST_REFRESH_MS, this.waiting.size * this.workerCount * REFRESH_EACH_MS * spread);
     }
 
     private takeStale(now: Millis): readonly Step[] {
-        const stale = [...this.waiting.keys()].filter(step => this.getPermits(step).isQuestionStale(now));
+        const stale = [...this.waiting.keys()].filter(step => this.getPermits(step).isRequestStale(now));
         stale.forEach(step => this.waiting.delete(step));
         return stale;
     }
 
-    private addRequest({ urgency, workerIds, hasRoom }: PermitWish, now: Millis): void {
+    private addRequest({ urgency, workerIds, hasCapacity }: PermitRequest, now: Millis): void {
         const { step, queue } = urgency;
         const permits = this.getPermits(step);
-        if (queue.advice === undefined || this.waiting.has(step) || !permits.canAsk(now)) {
+        if (queue.advice === undefined || this.waiting.has(step) || !permits.canRequest(now)) {
             return;
         }
-        permits.startQuestion(now, workerIds.length, this.computeRefreshMs());
+        permits.startRequest(now, workerIds.length, this.computeRefreshMs());
         const pending: PendingRequest = { step, permits, workerIds, validMs: queue.advice.validMs };
         this.waiting.set(step, {
             step: step.name,
             workerIds,
             policy: queue.advice,
             priority: queue.priority,
-            hasRoom,
+            hasCapacity,
             isFirst: !permits.hasAnswer(),
             since: permits.getWantedSince() ?? now,
             isWanted: () => !this.closed && step.job.spec !== undefined && step.waiting > 0,
@@ -138,8 +138,8 @@
     }
 
     private settle(pending: PendingRequest, answer: AdviceAnswer | undefined, askedAt: Millis): void {
-        const nodeName = pending.permits.getQuestion()?.nodeName;
-        pending.permits.endQuestion();
+        const nodeName = pending.permits.getRequest()?.nodeName;
+        pending.permits.endRequest();
         this.waiting.delete(pending.step);
         this.claims.remove(pending.step);
         if (answer === undefined) {
--- a/src/process/leader/starter.ts
+++ b/src/process/leader/starter.ts
@@ -70,8 +70,8 @@
             demand: step.spec.demand,
             phase: RunPhase.reserved,
             settledAfter: Infinity,
-            yieldsBelow: this.context.findPreemptibleBelow(step),
-            isLasting: step.spec.isLongRunning,
+            preemptibleBelow: this.context.findPreemptibleBelow(step),
+            isOpenEnded: step.spec.isLongRunning,
             isExclusive: isSuspect(task),
             isProbe,
             expectedMs: this.context.predictRunMs(step),
@@ -105,7 +105,7 @@
             this.settleNotRun(start, record, "no longer wanted");
             return;
         }
-        if (worker.isOverdrawn()) {
+        if (worker.isOvercommitted()) {
             this.settleNotRun(start, record, "the worker's capacity has shrunk");
             return;
         }
@@ -179,7 +179,7 @@
     }
 
     private confirm(step: Step, record: RunRecord, workerNow: Millis): void {
-        record.wasSeen = true;
+        record.wasReported = true;
         this.ends.crashes.observeStart(record);
         this.context.history.observeBegin(step, this.context.clock.now());
         if (record.phase === RunPhase.ordered) {
--- a/src/process/leader/state-report.ts
+++ b/src/process/leader/state-report.ts
@@ -1,13 +1,13 @@
 /** Logs the state of a leader and its cluster once a second. */
 import type { Millis } from "../../common/clock.js";
-import type { AdviceDesk } from "../dispatch/advice-desk.js";
+import type { AdviceDispatcher } from "../dispatch/advice-dispatcher.js";
 import { MissingQueues } from "./missing-queues.js";
 import { WaitingReport } from "./waiting-report.js";
 import type { WaitingReportOptions } from "./waiting-report.js";
 
 /** The state that the report reads. */
 export interface StateReportOptions extends WaitingReportOptions {
-    readonly advice: AdviceDesk;
+    readonly advice: AdviceDispatcher;
     /** Returns when the last pass was made; undefined before the first. */
     readonly getLastPassAt: () => Millis | undefined;
 }
--- a/src/process/leader/step-capacity.ts
+++ b/src/process/leader/step-capacity.ts
@@ -2,7 +2,7 @@
 import type { Millis } from "../../common/clock.js";
 import type { StepPermits } from "../dispatch/permits.js";
 import type { PoolView, Slot } from "../dispatch/pool-view.js";
-import { countFitting } from "../dispatch/question-size.js";
+import { countFitting } from "../dispatch/request-size.js";
 import type { Step } from "../jobs/job.js";
 
 /** Capacity available to one step. */
--- a/src/process/leader/wait-cause.ts
+++ b/src/process/leader/wait-cause.ts
@@ -1,6 +1,6 @@
 /** Determines why a step waits, from the leader's state at the time when a log line about the step is due. */
 import type { Millis } from "../../common/clock.js";
-import type { OpenQuestion, StepPermits } from "../dispatch/permits.js";
+import type { OpenAdviceRequest, StepPermits } from "../dispatch/permits.js";
 import type { RiskyBacklog } from "../dispatch/probation.js";
 import { isStepReady, TaskState } from "../jobs/job.js";
 import type { Step, Task } from "../jobs/job.js";
@@ -210,7 +210,7 @@
 }
 
 function findLongRequest({ permits, now }: WaitingState): WaitCause | undefined {
-    const request = permits?.getQuestion();
+    const request = permits?.getRequest();
     // A request that is withdrawn from the queue and made again is a new one; its step has wanted an answer
     // all the time.
     const since = permits?.getWantedSince() ?? request?.since ?? now;
@@ -260,11 +260,11 @@
     if (permits.countFailures() > 0) {
         return buildCause(WaitReason.questionFailed);
     }
-    const request = permits.getQuestion();
+    const request = permits.getRequest();
     return request && buildRequestCause(request);
 }
 
-function buildRequestCause({ nodeName }: OpenQuestion): WaitCause {
+function buildRequestCause({ nodeName }: OpenAdviceRequest): WaitCause {
     return buildCause(nodeName === undefined ? WaitReason.questionWaiting : WaitReason.questionUnderWay);
 }
 
@@ -280,14 +280,14 @@
 }
 
 function describePermits(permits: StepPermits, now: Millis): WaitFields {
-    const request = permits.getQuestion();
+    const request = permits.getRequest();
     const allowed = permits.countAllowed();
     const denied = permits.countDenied();
     return {
         asked: allowed + denied,
         allowed,
         denied,
-        questions: permits.countQuestions(),
+        questions: permits.countRequests(),
         questionFailures: permits.countFailures(),
         ...request && {
             questionMs: Math.round(now - request.since),
--- a/src/process/node/leadership-term.ts
+++ b/src/process/node/leadership-term.ts
@@ -3,7 +3,7 @@
 import type { Clock, Millis } from "../../common/clock.js";
 import { LatenessMeter } from "../../common/lateness.js";
 import type { Random } from "../../common/random.js";
-import type { AdviceCaller } from "../dispatch/advice-desk.js";
+import type { AdviceCaller } from "../dispatch/advice-dispatcher.js";
 import { GuardedStore } from "../journal/guarded-store.js";
 import type { LoadedJournal } from "../journal/load-journal.js";
 import { loadJournal } from "../journal/load-journal.js";
--- a/src/test/dispatch/advice-desk_test.ts
+++ b/src/test/dispatch/advice-dispatcher_test.ts
@@ -1,24 +1,24 @@
-/** Which node puts which question to the advice service when. */
+/** Tests which node sends which request to the advice service, and when. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { AdviceDesk } from "../../process/dispatch/advice-desk.js";
+import { AdviceDispatcher } from "../../process/dispatch/advice-dispatcher.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 import { createFakeLog } from "../fakes/fake-telemetry.js";
-import { QuestionLine } from "./question-line.js";
+import { RequestQueue } from "./request-queue.js";
 
 const LONG = { decideMs: 559, perWorkerMs: 8, validMs: 2_000 };
 const MEDIUM = { decideMs: 130, perWorkerMs: 2, validMs: 2_000 };
 
-describe("AdviceDesk", () => {
-    it("goes by the queue, then puts first questions before those that come again, and short ones before long ones", async () => {
-        // Many gangs wait for room and ask again and again, a second each. A job of their own queue that has asked nothing
-        // yet waited behind all of them.
+describe("AdviceDispatcher", () => {
+    it("orders requests by queue priority, then first ones before renewals, then short ones before long ones", async () => {
+        // Many gangs waited for capacity and repeated their requests of a second each. A job of their own
+        // queue that had made no request yet waited behind all of them.
         const clock = new FakeClock();
-        const desk = new AdviceDesk(clock, createFakeLog());
-        const line = new QuestionLine(desk);
+        const desk = new AdviceDispatcher(clock, createFakeLog());
+        const queue = new RequestQueue(desk);
         const sent: string[] = [];
         const enqueue = (step: string, policy: typeof LONG, priority: number, isFirst = true): void =>
-            line.enqueue({
+            queue.enqueue({
                 step,
                 priority,
                 isFirst,
@@ -45,21 +45,25 @@
         assert.deepEqual(sent, ["under way", "short", "long", "again", "last queue"]);
     });
 
-    // Guards against work that is put off while questions about it cannot be made up for.
+    // Work must not be deferred while the nodes are overloaded, as its requests could not be made up for.
     for (
         const { name, answerMs, isShort } of [
             {
-                name: "counts nodes as short that cannot put a question for seconds",
+                name: "counts nodes as overloaded that cannot send a request for seconds",
                 answerMs: 4_000,
                 isShort: true,
             },
-            { name: "does not count nodes as short that put each soon", answerMs: 300, isShort: false },
+            {
+                name: "does not count nodes as overloaded that send each request soon",
+                answerMs: 300,
+                isShort: false,
+            },
         ]
     ) {
         it(name, async () => {
             const clock = new FakeClock();
-            const desk = new AdviceDesk(clock, createFakeLog());
-            const line = new QuestionLine(desk);
+            const desk = new AdviceDispatcher(clock, createFakeLog());
+            const queue = new RequestQueue(desk);
             desk.addCaller({
                 nodeName: "node-1",
                 requestPermits: () =>
@@ -68,15 +72,15 @@
                     }),
             });
             const ask = (step: string): void =>
-                line.enqueue({ step, priority: 1, workerIds: ["w1"], policy: LONG, since: clock.now() });
+                queue.enqueue({ step, priority: 1, workerIds: ["w1"], policy: LONG, since: clock.now() });
             ask("first");
             ask("second");
             ask("third");
             await clock.step(3_100);
             ask("fourth");
-            assert.equal(desk.isShort(), isShort);
+            assert.equal(desk.isOverloaded(), isShort);
             await clock.step(20_000);
-            assert.equal(desk.isShort(), false);
+            assert.equal(desk.isOverloaded(), false);
         });
     }
 });
--- a/src/test/dispatch/room-claims_test.ts
+++ b/src/test/dispatch/capacity-claims_test.ts
@@ -1,7 +1,7 @@
-/** Room that steps with questions under way will probably take. */
+/** Tests the capacity claimed by steps with requests in flight. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { RoomClaims } from "../../process/dispatch/room-claims.js";
+import { CapacityClaims } from "../../process/dispatch/capacity-claims.js";
 import { JobRegistry } from "../../process/jobs/job-registry.js";
 import type { Step } from "../../process/jobs/job.js";
 import { CORE, makeJobId, makeSpec } from "../leader/leader-cell.js";
@@ -15,20 +15,20 @@
     return [...book.listRunnable()];
 }
 
-describe("RoomClaims", () => {
-    it("spreads what a step needs over the workers that its question names", () => {
+describe("CapacityClaims", () => {
+    it("spreads a step's demand over the workers that its request names", () => {
         const [first, second] = makeSteps(2);
         assert(first !== undefined && second !== undefined);
-        const claims = new RoomClaims();
+        const claims = new CapacityClaims();
         claims.add(first, ["w1", "w2"]);
         claims.add(second, ["w2", "w3", "w4"]);
         assert.deepEqual(["w1", "w2", "w3", "w9"].map(id => claims.getCpu(id)), [6_000, 10_000, 4_000, 0]);
     });
 
-    it("forgets a step whose question is settled, and one that asks anew", () => {
+    it("removes the claim of a settled request, and that of one that is replaced", () => {
         const [step] = makeSteps(1);
         assert(step !== undefined);
-        const claims = new RoomClaims();
+        const claims = new CapacityClaims();
         claims.add(step, ["w1", "w2", "w3"]);
         claims.add(step, ["w4"]);
         assert.deepEqual(["w1", "w4"].map(id => claims.getCpu(id)), [0, 12_000]);
--- a/src/test/dispatch/crash-risk_test.ts
+++ b/src/test/dispatch/crash-risk_test.ts
@@ -1,16 +1,16 @@
-/** Which queues count as risky, after what starts and losses. */
+/** Tests which queues count as risky after which starts and losses. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
 import { computeProofMs, CrashRisk } from "../../process/dispatch/crash-risk.js";
-import type { LostStart } from "../../process/dispatch/crash-risk.js";
+import type { RunAtLoss } from "../../process/dispatch/crash-risk.js";
 
 const NOW = 20_000;
 
-/** A worker that was lost, with what ran there. */
+/** The loss of a worker, with the runs on it. */
 interface Loss {
     readonly at: Millis;
-    readonly runs: readonly (Partial<LostStart> & { readonly queue: string; })[];
+    readonly runs: readonly (Partial<RunAtLoss> & { readonly queue: string; })[];
     readonly isConfirmed?: boolean;
     readonly isWithdrawn?: boolean;
 }
@@ -20,9 +20,9 @@
     /** Starts of each queue, shortly before the losses. */
     readonly starts: Readonly<Record<string, number>>;
     readonly losses: readonly Loss[];
-    /** Queues that have late work waiting, or work that has probably crashed a worker. */
+    /** Queues with waiting work that is late or has probably crashed a worker. */
     readonly probes?: readonly string[];
-    /** When the queues were listed before. */
+    /** When the risky queues were listed before. */
     readonly listedAt?: Millis;
     readonly risky: readonly string[];
 }
@@ -34,7 +34,7 @@
 
 const CASES: readonly Case[] = [
     {
-        name: "nothing that two crashes followed",
+        name: "no queue after only two crashes",
         starts: { a: 20 },
         losses: buildLosses(2, [{ queue: "a" }]),
         risky: [],
@@ -46,13 +46,13 @@
         risky: ["a"],
     },
     {
-        name: "no queue of which only one of a thousand starts was followed by a crash",
+        name: "no queue of which only one in a thousand starts was followed by a crash",
         starts: { a: 5_000 },
         losses: buildLosses(5, [{ queue: "a" }]),
         risky: [],
     },
     {
-        name: "no queue whose runs had long been at work",
+        name: "no queue whose runs had been running for long",
         starts: { a: 20 },
         losses: buildLosses(8, [{ queue: "a", provenMs: 2_000 }]),
         risky: [],
@@ -70,7 +70,7 @@
         risky: [],
     },
     {
-        name: "no queue for workers that were cut off and go on",
+        name: "no queue for workers that were only cut off",
         starts: { a: 20 },
         losses: buildLosses(8, [{ queue: "a" }]).map(loss => ({ ...loss, isWithdrawn: true })),
         risky: [],
@@ -91,7 +91,7 @@
         risky: [],
     },
     {
-        name: "a queue for as long as late work of it waits after workers surely crashed",
+        name: "a queue for as long as late work of it waits after confirmed crashes",
         starts: { a: 20 },
         losses: buildLosses(8, [{ queue: "a" }], 1_000).map(loss => ({ ...loss, isConfirmed: true })),
         listedAt: 3_000,
@@ -127,19 +127,19 @@
         });
     }
 
-    it("counts workers as away for some seconds after they crashed", () => {
+    it("counts workers as down for some seconds after they crashed", () => {
         const risk = new CrashRisk();
         risk.observeLoss(
             { workerId: "w1", pool: "pool" },
             [{ queue: "a", provenMs: 0, isSuspect: true }],
             NOW,
         );
-        assert.equal(risk.countAway("pool", true, NOW + 1_000), 1);
-        assert.equal(risk.countAway("pool", false, NOW + 1_000), 0);
-        assert.equal(risk.countAway("pool", true, NOW + 5_000), 0);
+        assert.equal(risk.countCrashed("pool", true, NOW + 1_000), 1);
+        assert.equal(risk.countCrashed("pool", false, NOW + 1_000), 0);
+        assert.equal(risk.countCrashed("pool", true, NOW + 5_000), 0);
     });
 
-    it("asks for a longer proof the more starts end in crashes", () => {
+    it("requires a longer proof the more starts end in crashes", () => {
         const proofs = [0, 0.01, 0.03, 0.2].map(recentRate =>
             computeProofMs({ starts: 0, crashes: 0, rate: 0, recentRate })
         );
--- a/src/test/dispatch/cut-off-callers_test.ts
+++ b/src/test/dispatch/cut-off-callers_test.ts
@@ -1,29 +1,29 @@
-/** Long questions to the advice service while the nodes that may put them are cut off from it. */
+/** Tests long requests to the advice service while the nodes that may send them are cut off from it. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { AdviceDesk } from "../../process/dispatch/advice-desk.js";
+import { AdviceDispatcher } from "../../process/dispatch/advice-dispatcher.js";
 import type { AdviceAnswer } from "../../process/ports/task-worker-port.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 import { createFakeLog } from "../fakes/fake-telemetry.js";
-import { QuestionLine } from "./question-line.js";
+import { RequestQueue } from "./request-queue.js";
 
 const LONG = { decideMs: 559, perWorkerMs: 8, validMs: 2_000 };
 const RETRY_MS: Millis = 150;
 
-describe("a long question", () => {
+describe("a long request to the advice service", () => {
     const cases: { name: string; answer: AdviceAnswer; afterMs: Millis; }[] = [
         { name: "fail at once", answer: { kind: "failed", message: "no way there" }, afterMs: 4 },
-        { name: "are told to wait", answer: { kind: "busy" }, afterMs: 4 },
+        { name: "are answered as busy", answer: { kind: "busy" }, afterMs: 4 },
         { name: "get no answer", answer: { kind: "failed", message: "no answer" }, afterMs: 1_700 },
     ];
     for (const { name, answer, afterMs } of cases) {
-        it(`goes to a node for short ones where all others ${name}`, async () => {
-            // Two of three nodes are kept for short questions, and the third is cut off from the service. Every long question
-            // failed there again and again, and its gang never started, while the two others had nothing to do.
+        it(`goes to a node reserved for short ones if all others ${name}`, async () => {
+            // Two of three nodes are reserved for short requests, and the third is cut off from the service.
+            // Every long request failed there, and its gang never started while the two others were idle.
             const clock = new FakeClock();
-            const desk = new AdviceDesk(clock, createFakeLog());
-            const line = new QuestionLine(desk);
+            const desk = new AdviceDispatcher(clock, createFakeLog());
+            const queue = new RequestQueue(desk);
             const done: Millis[] = [];
             const addNode = (nodeName: string, reply: AdviceAnswer, takesMs: Millis): void =>
                 desk.addCaller({
@@ -37,7 +37,7 @@
             addNode("node-2", { kind: "done", permits: [] }, 567);
             addNode("node-3", answer, afterMs);
             const enqueue = (): void =>
-                line.enqueue({
+                queue.enqueue({
                     step: "gang",
                     workerIds: ["w1"],
                     policy: LONG,
--- a/src/test/dispatch/denials_test.ts
+++ b/src/test/dispatch/denials_test.ts
@@ -1,4 +1,4 @@
-/** Workers that an answer of the advice service left out. */
+/** Tests workers that an answer of the advice service left out. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -12,9 +12,9 @@
 }
 
 describe("a worker that an answer left out", () => {
-    it("is asked about again once no other worker is left", () => {
-        // An accepted task waits for ever while workers that may run it are empty. The first answer was given before the
-        // service knew of w2, so w2 counted as denied; then the one worker that was allowed left.
+    it("is named again once no other worker is left", () => {
+        // The first answer was given before the service knew of w2, so w2 counted as denied. Then the only
+        // allowed worker left, and the task waited forever beside empty workers that may run it.
         const both = makeWorkers("w1", "w2");
         const start = runPasses({
             step: {},
@@ -27,8 +27,9 @@
         assert.ok(start.at < 2_000, `started at ${start.at}`);
     });
 
-    it("is asked about more and more rarely while it stays denied", () => {
-        // A step that no worker may run: asked without a pause, its questions would keep the service from all others.
+    it("is named less and less often while it stays denied", () => {
+        // Without growing pauses, the requests of a step that no worker may run would take the service's time
+        // from all others.
         const asked: number[] = [];
         const workers = makeWorkers("w1", "w2");
         runPasses({
--- a/src/test/dispatch/left-out-renewals_test.ts
+++ b/src/test/dispatch/left-out-renewals_test.ts
@@ -1,4 +1,4 @@
-/** Permits that ran out and that the advice service does not renew. */
+/** Tests that a step whose expired permit is not renewed starts on another worker. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -11,14 +11,14 @@
 
 describe("a renewal that leaves a worker out", () => {
     const cases = [
-        { name: "lets the step ask about workers that were not named yet", rack: undefined, others: ["w2"] },
-        { name: "lets the step take a worker further from its data", rack: "r1", others: ["w2"] },
+        { name: "lets the step request workers that were not named yet", rack: undefined, others: ["w2"] },
+        { name: "lets the step use a worker farther from its data", rack: "r1", others: ["w2"] },
     ];
     for (const { name, rack, others } of cases) {
         it(name, () => {
-            // An accepted task waits for ever beside empty workers. It was allowed on w1, which was full until that permit
-            // had run out; the answer to the renewal left w1 out. The planner still counted w1 as the task's best place, and
-            // waited for a permit there.
+            // A task was allowed on w1, which stayed full until that permit had expired, and the renewal left
+            // w1 out. The planner still counted w1 as the best place and waited forever for a permit there
+            // beside empty workers.
             const first = new WorkerState(makeWorkerRecord("w1", { rack: "r1" }));
             const later = others.map(id => new WorkerState(makeWorkerRecord(id, { rack: "r2" })));
             const start = runPasses({
--- a/src/test/dispatch/lost-answers_test.ts
+++ b/src/test/dispatch/lost-answers_test.ts
@@ -1,4 +1,4 @@
-/** What follows from lost answers of workers. */
+/** Tests report waits and hedge delays while workers' answers get lost. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ON_TIME } from "../../common/lateness.js";
@@ -18,7 +18,7 @@
     { name: "is short after a lost answer", lossAt: NOW - 500, workers: 33, expected: 250 },
     { name: "is long again some seconds later", lossAt: NOW - 5_000, workers: 33, expected: 1_000 },
     { name: "bounds the requests of a large fleet", lossAt: NOW - 500, workers: 150, expected: 600 },
-    { name: "never exceeds the calm wait", lossAt: NOW - 500, workers: 3_800, expected: 1_000 },
+    { name: "never exceeds the normal wait", lossAt: NOW - 500, workers: 3_800, expected: 1_000 },
 ];
 
 describe("the wait for a report", () => {
@@ -33,7 +33,7 @@
     }
 });
 
-describe("the wait before a call is made again", () => {
+describe("the hedge delay", () => {
     const cases = [
         { name: "leaves a slow leader time", lossAt: undefined, expected: 150 },
         { name: "is short after a lost answer", lossAt: NOW - 500, expected: 60 },
@@ -45,7 +45,7 @@
             if (lossAt !== undefined) {
                 lost.observeLoss(lossAt);
             }
-            assert.equal(lost.computeRepeatDelay(NOW), expected);
+            assert.equal(lost.computeHedgeDelay(NOW), expected);
         });
     }
 });
--- a/src/test/dispatch/plan-passes.ts
+++ b/src/test/dispatch/plan-passes.ts
@@ -1,8 +1,10 @@
-/** Planning passes over one step that waits alone, with its questions to the advice service answered by a test. */
+/**
+ * Planning passes over a single waiting step, with its requests to the advice service answered by the test.
+ */
 import type { Millis } from "../../common/clock.js";
 import { StepPermits } from "../../process/dispatch/permits.js";
 import { planStarts } from "../../process/dispatch/planner.js";
-import { PreemptionLooks } from "../../process/dispatch/preemption-looks.js";
+import { PreemptionAttempts } from "../../process/dispatch/preemption-attempts.js";
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import type { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -12,15 +14,15 @@
 import type { AdvicePolicy } from "../../version/cluster-config.js";
 import { makeJobId, makeSpec, QUEUE } from "../leader/leader-cell.js";
 
-/** What the passes are made over. */
+/** Scenario of the passes. */
 export interface PassesCase {
     readonly step: Partial<StepSpec>;
     readonly policy: AdvicePolicy;
-    /** Workers that were allowed so long ago that their permits have run out. */
+    /** Workers whose permits have expired. */
     readonly allowedBefore?: readonly string[];
-    /** Workers that are usable at a time. */
+    /** Returns the workers that are usable at a time. */
     readonly listWorkers: (now: Millis) => readonly WorkerState[];
-    /** Workers that the service allows, of those named. */
+    /** Returns the workers that the service allows, of those named. */
     readonly answer: (workerIds: readonly string[], now: Millis) => readonly string[];
     readonly forMs: Millis;
 }
@@ -31,12 +33,12 @@
     readonly at: Millis;
 }
 
-/** Time between two passes where nothing happens, as the leader's sweeps have it. */
-const PASS_EVERY_MS: Millis = 100;
+/** Interval of passes while nothing happens, as with the leader's sweeps. */
+const PASS_INTERVAL_MS: Millis = 100;
 
 /**
- * Runs passes until something starts.
- * @returns Undefined where nothing starts in the time given.
+ * Runs passes until a task starts.
+ * @returns Undefined if none starts within `forMs`.
  */
 export function runPasses(
     { step, policy, allowedBefore = [], listWorkers, answer, forMs }: PassesCase,
@@ -45,18 +47,18 @@
     book.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec: makeSpec(step), at: 0 });
     const permits = new StepPermits();
     permits.accept(allowedBefore, makePermits(allowedBefore), -policy.validMs, policy.validMs);
-    const preemptionLooks = new PreemptionLooks();
+    const preemptionLooks = new PreemptionAttempts();
     const queue = { ...QUEUE, advice: policy };
-    for (let now = 0; now < forMs; now += PASS_EVERY_MS) {
+    for (let now = 0; now < forMs; now += PASS_INTERVAL_MS) {
         const plan = planStarts({
             waiting: [...book.listRunnable()].map(waiting => rankStep(waiting, queue, now)),
             workersByPool: new Map([[QUEUE.pool, listWorkers(now)]]),
-            unheardByPool: new Map(),
+            unreportedByPool: new Map(),
             getPermits: () => permits,
-            preemptionLooks,
+            preemptionAttempts: preemptionLooks,
             getClaimedCpu: () => 0,
             getAllowedShare: () => 0.4,
-            isAdviceShort: false,
+            isAdviceOverloaded: false,
             listRefusing: () => new Set(),
             probation: NO_PROBATION,
             isPaused: () => false,
@@ -66,7 +68,7 @@
         if (start !== undefined) {
             return { workerId: start.worker.id, at: now };
         }
-        const workerIds = plan.wishes[0]?.workerIds;
+        const workerIds = plan.permitRequests[0]?.workerIds;
         if (workerIds !== undefined) {
             now += policy.decideMs + policy.perWorkerMs * workerIds.length;
             permits.accept(workerIds, makePermits(answer(workerIds, now)), now, policy.validMs);
