--- a/src/test/dispatch/planner_test.ts
+++ b/src/test/dispatch/planner_test.ts
@@ -1,11 +1,11 @@
-/** Which waiting tasks start where, as one pass decides it. */
+/** Tests which waiting tasks one pass starts on which workers. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Resources } from "../../common/resources.js";
 import { StepPermits } from "../../process/dispatch/permits.js";
 import type { Plan } from "../../process/dispatch/plan.js";
 import { planStarts } from "../../process/dispatch/planner.js";
-import { PreemptionLooks } from "../../process/dispatch/preemption-looks.js";
+import { PreemptionAttempts } from "../../process/dispatch/preemption-attempts.js";
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -45,7 +45,7 @@
     jobs: readonly JobCase[],
     workers: readonly WorkerState[],
     permitsOf: ReadonlyMap<number, StepPermits> = new Map(),
-    unheard: readonly WorkerState[] = [],
+    unreported: readonly WorkerState[] = [],
 ): Plan {
     const book = new JobRegistry();
     jobs.forEach(({ step, at }, index) => {
@@ -60,12 +60,12 @@
     return planStarts({
         waiting,
         workersByPool: new Map([["pool", workers]]),
-        unheardByPool: new Map([["pool", unheard]]),
+        unreportedByPool: new Map([["pool", unreported]]),
         getPermits: step => permitsOf.get(numbers.get(step) ?? -1) ?? new StepPermits(),
-        preemptionLooks: new PreemptionLooks(),
+        preemptionAttempts: new PreemptionAttempts(),
         getClaimedCpu: () => 0,
         getAllowedShare: () => 0.4,
-        isAdviceShort: false,
+        isAdviceOverloaded: false,
         listRefusing: () => new Set(),
         probation: NO_PROBATION,
         isPaused: () => false,
@@ -81,7 +81,7 @@
 describe("planStarts", () => {
     const cases: { name: string; jobs: JobCase[]; workers: readonly WorkerState[]; starts: string[]; }[] = [
         {
-            name: "fills the fullest worker that fits, so that large holes stay",
+            name: "uses the fullest worker that fits, so that large gaps remain",
             jobs: [{ step: { demand: makeDemand(2) } }],
             workers: makeWorkers(8, 3),
             starts: ["0>w2"],
@@ -108,7 +108,7 @@
             starts: [],
         },
         {
-            name: "keeps what a gang could use from those behind it",
+            name: "reserves what a gang could use",
             jobs: [
                 { step: { demand: makeDemand(4), taskCount: 2, isGang: true } },
                 { step: { demand: makeDemand(1) }, queue: { priority: 2 } },
@@ -121,7 +121,7 @@
             starts: [],
         },
         {
-            name: "keeps nothing for a gang that is larger than all workers",
+            name: "reserves nothing for a gang that is larger than all workers",
             jobs: [
                 { step: { demand: makeDemand(4), taskCount: 3, isGang: true } },
                 { step: { demand: makeDemand(1) }, queue: { priority: 2 } },
@@ -142,7 +142,7 @@
             starts: ["0>w2"],
         },
         {
-            name: "keeps to the limit of tasks for each worker",
+            name: "respects the limit of tasks for each worker",
             jobs: [{ step: { demand: makeDemand(1), taskCount: 4, maxPerWorker: 1 } }],
             workers: makeWorkers(4, 4),
             starts: ["0>w1", "0>w2"],
@@ -164,50 +164,50 @@
         it(name, () => assert.deepEqual(listStarts(planJobs(jobs, workers)), starts));
     }
 
-    it("asks for permits before it starts, naming the emptiest workers first", () => {
+    it("requests permits before it starts tasks, naming the emptiest workers first", () => {
         const plan = planJobs([{ step: {}, queue: { advice: ADVICE } }], makeWorkers(2, 8, 4));
         assert.deepEqual(plan.starts, []);
-        assert.deepEqual(plan.wishes.map(wish => wish.workerIds), [["w2", "w3", "w1"]]);
+        assert.deepEqual(plan.permitRequests.map(request => request.workerIds), [["w2", "w3", "w1"]]);
     });
 
-    it("asks for permits for workers that were not heard yet, and starts nothing there", () => {
-        // All nodes were away, and jobs wait. The first question went out only when the workers had been heard and that was
+    it("requests permits for workers that have not reported yet, and starts nothing there", () => {
+        // After a loss of all nodes, permits were requested only once the workers had reported and that was
         // durable, so each job waited for both in turn.
         const permits = new StepPermits();
         const jobs = [{ step: { demand: makeDemand(0) }, queue: { advice: ADVICE } }];
         const asked = planJobs(jobs, [], new Map([[0, permits]]), makeWorkers(4, 4));
-        assert.deepEqual(asked.wishes.map(wish => wish.workerIds), [["w1", "w2"]]);
+        assert.deepEqual(asked.permitRequests.map(request => request.workerIds), [["w1", "w2"]]);
         permits.accept(["w1", "w2"], [{ workerId: "w1", token: "t" }], NOW, ADVICE.validMs);
         assert.deepEqual(listStarts(planJobs(jobs, [], new Map([[0, permits]]), makeWorkers(4, 4))), []);
         assert.deepEqual(listStarts(planJobs(jobs, makeWorkers(4, 4), new Map([[0, permits]]))), ["0>w1"]);
     });
 
-    it("starts on allowed workers and asks again only for those whose permit has run out", () => {
+    it("starts on allowed workers and renews only expired permits", () => {
         const permits = new StepPermits();
         permits.accept(["w1", "w2"], [{ workerId: "w1", token: "t" }], NOW - 2_000, ADVICE.validMs);
         const jobs = [{ step: {}, queue: { advice: ADVICE } }];
         const late = planJobs(jobs, makeWorkers(4, 4), new Map([[0, permits]]));
         assert.deepEqual(listStarts(late), []);
-        assert.deepEqual(late.wishes.map(wish => wish.workerIds), [["w1"]]);
+        assert.deepEqual(late.permitRequests.map(request => request.workerIds), [["w1"]]);
         permits.accept(["w1"], [{ workerId: "w1", token: "t2" }], NOW, ADVICE.validMs);
         const plan = planJobs(jobs, makeWorkers(4, 4), new Map([[0, permits]]));
         assert.deepEqual(listStarts(plan), ["0>w1"]);
         assert.equal(plan.starts[0]?.permit, "t2");
     });
 
-    it("puts no question while one is under way or has just failed", () => {
-        // The advice service is away and every question fails at once. Put again in each pass, questions took the
-        // leader's whole processor time.
+    it("makes no request while one is in flight or has just failed", () => {
+        // While the advice service is unavailable every request fails at once. Repeated in each pass,
+        // requests took the leader's whole processor time.
         const permits = new StepPermits();
         const jobs = [{ step: {}, queue: { advice: ADVICE } }];
-        permits.startQuestion(0, 1);
+        permits.startRequest(0, 1);
         permits.observeSent("node-1", 0);
-        assert.deepEqual(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).wishes, []);
-        permits.endQuestion();
+        assert.deepEqual(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).permitRequests, []);
+        permits.endRequest();
         permits.observeFailure(NOW - 10);
-        assert.deepEqual(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).wishes, []);
+        assert.deepEqual(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).permitRequests, []);
         permits.observeFailure(NOW - 1_000);
-        assert.equal(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).wishes.length, 1);
+        assert.equal(planJobs(jobs, makeWorkers(4), new Map([[0, permits]])).permitRequests.length, 1);
     });
 
     it("never gives a worker more than it has, whatever waits", () => {
--- a/src/test/dispatch/preemption_test.ts
+++ b/src/test/dispatch/preemption_test.ts
@@ -1,4 +1,4 @@
-/** Which runs are stopped so that a more urgent gang fits. */
+/** Tests which runs are preempted so that a more urgent gang fits. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Slot } from "../../process/dispatch/pool-view.js";
@@ -12,7 +12,7 @@
 
 const GANG_PRIORITY = 1;
 
-/** What runs on a worker of 64 cores: cores of each run, and whether it yields. */
+/** A run on a worker of 64 cores: its cores, and which queues may preempt it. */
 interface RunCase {
     readonly cores: number;
     readonly yieldsBelow?: number;
@@ -26,7 +26,7 @@
         worker.addRun(makeRunRecord(`${number}:${cores}:${index}`, {
             demand: { cpuMillis: cores * 1_000, memoryMib: 0, accelerators: 0 },
             phase,
-            yieldsBelow,
+            preemptibleBelow: yieldsBelow,
         }))
     );
     return new Slot(worker, 0);
@@ -48,18 +48,18 @@
         workers: readonly (readonly RunCase[])[];
         missing: number;
         gang?: Partial<StepSpec>;
-        /** Undefined where stopping would not be enough. */
+        /** Undefined if stopping runs would not be enough. */
         stopped: readonly string[] | undefined;
     }[] = [
         {
-            name: "stops the runs that make room at the least cost",
+            name: "stops the runs that free enough capacity at the least cost",
             workers: [
                 [{ cores: 50 }, { cores: 10, yieldsBelow: 2 }],
                 [{ cores: 40 }, { cores: 20, yieldsBelow: 2 }],
                 [{ cores: 50 }, { cores: 7, yieldsBelow: 2 }, { cores: 7, yieldsBelow: 2 }],
             ],
             missing: 1,
-            // Beside what may be stopped 4, 4 and 0 cores are free, so 14, 24 and 14 can be had.
+            // Besides what may be stopped 4, 4 and 0 cores are free, so 14, 24 and 14 can be had.
             stopped: ["2:20:1"],
         },
         {
@@ -69,37 +69,37 @@
             stopped: ["1:8:1", "1:8:2"],
         },
         {
-            name: "makes room for several members on one worker",
+            name: "frees capacity for several members on one worker",
             workers: [[{ cores: 32, yieldsBelow: 2 }, { cores: 32, yieldsBelow: 2 }]],
             missing: 3,
             stopped: ["1:32:0", "1:32:1"],
         },
         {
-            name: "stops nothing where the gang would not fit all the same",
+            name: "stops nothing if the gang would still not fit",
             workers: [[{ cores: 40 }, { cores: 20, yieldsBelow: 2 }], [{ cores: 64 }]],
             missing: 2,
             stopped: undefined,
         },
         {
-            name: "stops nothing that would lose what it has done",
+            name: "stops nothing that would lose its progress",
             workers: [[{ cores: 64 }]],
             missing: 1,
             stopped: undefined,
         },
         {
-            name: "stops nothing of a queue that goes first or beside it",
+            name: "stops nothing of a queue with an equal or higher priority",
             workers: [[{ cores: 30, yieldsBelow: 0 }, { cores: 30, yieldsBelow: GANG_PRIORITY }]],
             missing: 1,
             stopped: undefined,
         },
         {
-            name: "counts on room that is coming free already",
+            name: "counts capacity that is coming free already",
             workers: [[{ cores: 32, phase: "stopping" }, { cores: 32, yieldsBelow: 2 }]],
             missing: 1,
             stopped: [],
         },
         {
-            name: "keeps to the gang's limit for each worker",
+            name: "respects the gang's limit for each worker",
             workers: [[{ cores: 60, yieldsBelow: 2 }]],
             missing: 2,
             gang: { maxPerWorker: 1 },
--- a/src/test/dispatch/probation_test.ts
+++ b/src/test/dispatch/probation_test.ts
@@ -1,10 +1,10 @@
-/** Where tasks of queues start whose tasks crash workers, as one pass decides it. */
+/** Tests where one pass starts the tasks of queues whose tasks crash workers. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { QueueRisk } from "../../process/dispatch/crash-risk.js";
 import { StepPermits } from "../../process/dispatch/permits.js";
 import { planStarts } from "../../process/dispatch/planner.js";
-import { PreemptionLooks } from "../../process/dispatch/preemption-looks.js";
+import { PreemptionAttempts } from "../../process/dispatch/preemption-attempts.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
 import { JobRegistry } from "../../process/jobs/job-registry.js";
@@ -14,20 +14,23 @@
 const NOW = 100_000;
 const RISK: QueueRisk = { starts: 50, crashes: 5, rate: 0.1, recentRate: 0.1 };
 
-/** What a worker runs: `o` another queue's, `p` a risky queue's that has proven harmless, `u` one that has just begun. */
+/**
+ * Runs on a worker: `o` of another queue, `p` of a risky queue that has proven harmless, `u` of a risky queue
+ * that has just started.
+ */
 type Load = string;
 
 interface Case {
     readonly name: string;
     readonly workers: readonly Load[];
-    /** Steps of one job each; risky ones, if not said otherwise. */
+    /** Steps of one job each, of a risky queue unless `isHarmless`. */
     readonly jobs: readonly (Partial<StepSpec> & {
-        readonly isWell?: boolean;
+        readonly isHarmless?: boolean;
         readonly isLate?: boolean;
         readonly wasLost?: boolean;
     })[];
-    /** Workers that are away because of a crash. */
-    readonly away?: number;
+    /** Number of workers that are down after a crash. */
+    readonly crashed?: number;
     /** Starts as `job>worker`, one for each task. */
     readonly starts: readonly string[];
 }
@@ -36,7 +39,7 @@
     {
         name: "starts a risky step on a worker of its own, and others elsewhere",
         workers: ["", "", "oo"],
-        jobs: [{}, { isWell: true, taskCount: 2 }],
+        jobs: [{}, { isHarmless: true, taskCount: 2 }],
         starts: ["0>w1", "1>w3", "1>w3"],
     },
     {
@@ -52,32 +55,32 @@
         starts: ["0>w3"],
     },
     {
-        name: "starts no risky step while a third of the pool is away after crashes",
+        name: "starts no risky step while a third of the pool is down after crashes",
         workers: ["", "", ""],
-        jobs: [{}, { isWell: true }],
-        away: 2,
+        jobs: [{}, { isHarmless: true }],
+        crashed: 2,
         starts: ["1>w1"],
     },
     {
-        name: "starts what has probably crashed a worker after all others of its queue",
+        name: "starts a step that has probably crashed a worker after all others of its queue",
         workers: ["", "o", "o"],
         jobs: [{ wasLost: true }, {}],
         starts: ["1>w1"],
     },
     {
-        name: "leaves one worker to late work while timely work of the queue waits",
+        name: "uses one worker for late work while timely work of the queue waits",
         workers: ["", "", "", "", "o", "o", "o", "o", "o", "o", "o", "o"],
         jobs: [{ isLate: true }, { isLate: true }, { isLate: true }, {}],
         starts: ["0>w2", "3>w1"],
     },
     {
-        name: "starts late work on all workers that are kept where nothing timely waits",
+        name: "starts late work on all dedicated workers if nothing timely waits",
         workers: ["", "", "", "", "o", "o", "o", "o", "o", "o", "o", "o"],
         jobs: [{ isLate: true }, { isLate: true }, { isLate: true }],
         starts: ["0>w1", "1>w2", "2>w3"],
     },
     {
-        name: "starts a gang that the kept workers cannot hold on others too",
+        name: "starts a gang that the dedicated workers cannot hold on others too",
         workers: ["", "", ""],
         jobs: [{ taskCount: 12, isGang: true }],
         starts: ["w1", "w2", "w3"].flatMap(worker => [0, 1, 2, 3].map(() => `0>${worker}`)),
@@ -101,13 +104,19 @@
     return worker;
 }
 
-function listStarts({ workers, jobs, away = 0 }: Case): readonly string[] {
+function listStarts({ workers, jobs, crashed = 0 }: Case): readonly string[] {
     const book = new JobRegistry();
-    const names = jobs.map(({ isWell = false }) => isWell ? "well" : "risky");
-    jobs.forEach(({ isWell = false, isLate = false, wasLost = false, ...step }, index) => {
+    const names = jobs.map(({ isHarmless = false }) => isHarmless ? "well" : "risky");
+    jobs.forEach(({ isHarmless = false, isLate = false, wasLost = false, ...step }, index) => {
         const jobId = makeJobId(index);
         const at = isLate ? NOW - 60_000 : NOW;
-        book.apply({ type: "accepted", jobId, queue: isWell ? "well" : "risky", spec: makeSpec(step), at });
+        book.apply({
+            type: "accepted",
+            jobId,
+            queue: isHarmless ? "well" : "risky",
+            spec: makeSpec(step),
+            at,
+        });
         if (wasLost) {
             book.findTask(`${jobId}.0.0.0`)?.task.losses
                 .push({ workerId: "lost", run: 1, isCrash: true, isEarly: true });
@@ -119,16 +128,16 @@
             rankStep(step, { ...QUEUE, name: names[nameJob(step.name)] ?? "" }, NOW)
         ),
         workersByPool: new Map([["pool", workers.map(makeWorker)]]),
-        unheardByPool: new Map(),
+        unreportedByPool: new Map(),
         getPermits: () => new StepPermits(),
-        preemptionLooks: new PreemptionLooks(),
+        preemptionAttempts: new PreemptionAttempts(),
         getClaimedCpu: () => 0,
         getAllowedShare: () => 0.4,
-        isAdviceShort: false,
+        isAdviceOverloaded: false,
         listRefusing: () => new Set(),
         probation: {
             risky: new Map([["risky", RISK]]),
-            countAway: (_, isExplained) => isExplained ? 0 : away,
+            countCrashed: (_, isExplained) => isExplained ? 0 : crashed,
         },
         isPaused: () => false,
         now: NOW,
--- a/src/test/dispatch/renewal-choice_test.ts
+++ b/src/test/dispatch/renewal-choice_test.ts
@@ -1,4 +1,4 @@
-/** Whom a step asks about again when its permits have run out. */
+/** Tests for which workers a step renews expired permits. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -20,9 +20,9 @@
     ];
     for (const { name, step } of cases) {
         it(name, () => {
-            // An accepted task waits for ever with room on all workers that may run it. Its best place is the one near its
-            // data, which is nearly full; its permit there has run out. Renewals name the emptiest workers first, and by the
-            // time all others have been named the first of them have run out again.
+            // A task's best place is the nearly full worker near its data, where its permit has expired.
+            // Renewals named the emptiest workers first, and by the time all others had been named the first
+            // of them had expired again, so the task waited forever.
             const near = new WorkerState(makeWorkerRecord("near", { rack: "near", capacity: CAPACITY }));
             near.addRun(makeRunRecord("x", { demand: MOST }));
             const others = Array.from(
--- /dev/null
+++ b/src/test/dispatch/request-queue.ts
@@ -0,0 +1,38 @@
+/** Requests to the advice service, made one after the other as by the passes of a leader. */
+import type { AdviceDispatcher, AdviceRequest } from "../../process/dispatch/advice-dispatcher.js";
+
+/**
+ * The required fields of a test's request; the others default to those of the first request of a step with
+ * free capacity.
+ */
+export type TestRequest =
+    & Pick<AdviceRequest, "step" | "workerIds" | "policy" | "priority">
+    & Partial<AdviceRequest>;
+
+/** Keeps the waiting requests, as a leader does. */
+export class RequestQueue {
+    private readonly waiting = new Set<AdviceRequest>();
+
+    constructor(private readonly desk: AdviceDispatcher) {}
+
+    /** Adds a request behind those that wait. */
+    enqueue(testRequest: TestRequest): void {
+        const request: AdviceRequest = {
+            hasCapacity: true,
+            isFirst: true,
+            since: 0,
+            isWanted: () => true,
+            ...testRequest,
+            handleSent: nodeName => {
+                this.waiting.delete(request);
+                testRequest.handleSent?.(nodeName);
+            },
+            settle: (answer, askedAt) => {
+                this.waiting.delete(request);
+                testRequest.settle?.(answer, askedAt);
+            },
+        };
+        this.waiting.add(request);
+        this.desk.replaceWaiting([...this.waiting]);
+    }
+}
--- a/src/test/dispatch/question-size_test.ts
+++ b/src/test/dispatch/request-size_test.ts
@@ -1,17 +1,17 @@
-/** How many workers a question to the advice service names. */
+/** Tests how many workers a request to the advice service names. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Resources } from "../../common/resources.js";
 import {
     AllowedShares,
-    MAX_ASKED_WORKERS,
-    selectWorkersToAsk,
-} from "../../process/dispatch/question-size.js";
-import type { AskableWorker, QuestionNeed } from "../../process/dispatch/question-size.js";
+    MAX_REQUESTED_WORKERS,
+    selectRequestedWorkers,
+} from "../../process/dispatch/request-size.js";
+import type { RequestCandidate, RequestNeed } from "../../process/dispatch/request-size.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import { makeSpec } from "../leader/leader-cell.js";
 
-/** Figures of the large deployments: a long question and a short one. */
+/** Figures of the large deployments: a long request and a short one. */
 const LONG = { decideMs: 559, perWorkerMs: 8.06, validMs: 2_000 };
 const SHORT = { decideMs: 9.36, perWorkerMs: 0.13, validMs: 2_000 };
 
@@ -19,7 +19,7 @@
     return { cpuMillis: cores * 1_000, memoryMib: 65_536, accelerators: 0 };
 }
 
-function makeWorkers(count: number, freeCores: (index: number) => number): readonly AskableWorker[] {
+function makeWorkers(count: number, freeCores: (index: number) => number): readonly RequestCandidate[] {
     return Array.from({ length: count }, (...[, index]) => {
         return { id: `w${index}`, capacity: makeCores(64), free: makeCores(freeCores(index)) };
     });
@@ -31,18 +31,18 @@
     return spec;
 }
 
-describe("selectWorkersToAsk", () => {
+describe("selectRequestedWorkers", () => {
     const cases: {
         name: string;
-        workers: readonly AskableWorker[];
-        need: Partial<QuestionNeed>;
+        workers: readonly RequestCandidate[];
+        need: Partial<RequestNeed>;
         least: number;
         most: number;
     }[] = [
         {
-            // 246 workers are empty, a job has a gang of 20 tasks of 18 cores. Three fit on a worker and a third of the
-            // workers is allowed: 40 named hold it twice over. All the 100 that one question may name take 1.4 s, and
-            // the whole job may take 2.2 times its own work.
+            // A gang of 20 tasks of 18 cores waits for 246 empty workers. Three tasks fit on a worker and a
+            // third of the workers is allowed, so naming 40 suffices twice over. Naming 100, the maximum,
+            // would take 1.4 s, while the whole job may take 2.2 times its own run time.
             name: "names no more workers than a gang needs",
             workers: makeWorkers(246, () => 64),
             need: { tasks: 20, allowedShare: 0.35 },
@@ -54,17 +54,17 @@
             workers: makeWorkers(246, () => 64),
             need: { tasks: 20, allowedShare: 0.15 },
             least: 80,
-            most: MAX_ASKED_WORKERS,
+            most: MAX_REQUESTED_WORKERS,
         },
         {
             name: "names more where workers are full",
             workers: makeWorkers(246, () => 10),
             need: { tasks: 20, allowedShare: 0.35 },
             least: 90,
-            most: MAX_ASKED_WORKERS,
+            most: MAX_REQUESTED_WORKERS,
         },
         {
-            name: "names at least what costs next to nothing",
+            name: "names at least as many as cost next to nothing",
             workers: makeWorkers(246, () => 64),
             need: { tasks: 1, allowedShare: 0.7 },
             least: 17,
@@ -88,7 +88,7 @@
     for (const { name, workers, need, least, most } of cases) {
         it(name, () => {
             const spec = makeStep({ isGang: true });
-            const ids = selectWorkersToAsk(workers, {
+            const ids = selectRequestedWorkers(workers, {
                 spec,
                 tasks: 1,
                 policy: LONG,
@@ -99,10 +99,10 @@
         });
     }
 
-    it("names those with the most room first", () => {
+    it("names those with the most free capacity first", () => {
         const workers = makeWorkers(60, index => index === 41 ? 64 : 20);
         const need = { spec: makeStep({}), tasks: 1, policy: SHORT, allowedShare: 0.7 };
-        assert.equal(selectWorkersToAsk(workers, need)[0], "w41");
+        assert.equal(selectRequestedWorkers(workers, need)[0], "w41");
     });
 });
 
--- a/src/test/dispatch/question-timeouts_test.ts
+++ b/src/test/dispatch/request-timeouts_test.ts
@@ -1,24 +1,24 @@
-/** How long a question to the advice service may take. */
+/** Tests the timeout of requests to the advice service. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { AdviceDesk } from "../../process/dispatch/advice-desk.js";
+import { AdviceDispatcher } from "../../process/dispatch/advice-dispatcher.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 import { createFakeLog } from "../fakes/fake-telemetry.js";
-import { QuestionLine } from "./question-line.js";
+import { RequestQueue } from "./request-queue.js";
 
 const POLICY = { decideMs: 80, perWorkerMs: 1, validMs: 2_500 };
-const QUESTIONS = 400;
+const REQUEST_COUNT = 400;
 const ANSWER_MS: Millis = 10;
 
-describe("the timeout of a question", () => {
-    it("does not grow while the service is quicker than its figures", async () => {
-        // The service answers in an eighth of the time that its figures say. Each answer left the estimate of the node's next
-        // free moment further ahead, and timeouts count from there; the one answer that got lost then held its task up for
-        // minutes.
+describe("the timeout of a request to the advice service", () => {
+    it("does not grow while the service is faster than its figures", async () => {
+        // The service answers in an eighth of the time that its figures say. Each answer left the estimate of
+        // the node's next free time further ahead. Timeouts count from there, so one lost answer delayed its
+        // task for minutes.
         const clock = new FakeClock();
-        const desk = new AdviceDesk(clock, createFakeLog());
-        const line = new QuestionLine(desk);
+        const desk = new AdviceDispatcher(clock, createFakeLog());
+        const queue = new RequestQueue(desk);
         const timeouts: Millis[] = [];
         desk.addCaller({
             nodeName: "node-1",
@@ -29,8 +29,8 @@
                 });
             },
         });
-        for (let number = 0; number < QUESTIONS; number++) {
-            line.enqueue({
+        for (let number = 0; number < REQUEST_COUNT; number++) {
+            queue.enqueue({
                 step: `step ${number}`,
                 workerIds: ["w1"],
                 policy: POLICY,
@@ -40,8 +40,8 @@
                 settle: () => undefined,
             });
         }
-        await clock.step(QUESTIONS * ANSWER_MS);
-        assert.equal(timeouts.length, QUESTIONS);
+        await clock.step(REQUEST_COUNT * ANSWER_MS);
+        assert.equal(timeouts.length, REQUEST_COUNT);
         assert.ok(Math.max(...timeouts) < 1_500, `up to ${Math.max(...timeouts)} ms`);
     });
 });
--- a/src/test/dispatch/run-time-model_test.ts
+++ b/src/test/dispatch/run-time-model_test.ts
@@ -1,4 +1,4 @@
-/** Run times learnt from estimates of any quality. */
+/** Tests run times predicted from estimates of any quality. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../common/random.js";
@@ -7,12 +7,12 @@
 const SAMPLES = 400;
 const MEAN_MS = 3_000;
 
-/** About a normal deviate. */
+/** Returns an approximately normal deviate. */
 function pickDeviate(random: ReturnType<typeof createRandom>): number {
     return Array.from({ length: 12 }, () => random.pickFraction()).reduce((sum, value) => sum + value, -6);
 }
 
-/** Learns run times of spread 0.5 with estimates that are off by a factor of spread `noise`. */
+/** Records run times of spread 0.5 with estimates that are off by a factor of spread `noise`. */
 function observeSamples(noise: number): RunTimeModel {
     const random = createRandom(9);
     const model = new RunTimeModel();
@@ -24,7 +24,7 @@
 }
 
 describe("RunTimeModel", () => {
-    it("takes the estimate until it has learnt", () => {
+    it("uses the estimate until it has enough samples", () => {
         assert.equal(new RunTimeModel().estimate("q", 700), 700);
     });
 
--- a/src/test/dispatch/suspects_test.ts
+++ b/src/test/dispatch/suspects_test.ts
@@ -1,9 +1,9 @@
-/** Where tasks start that must run alone, as one pass decides it. */
+/** Tests where one pass starts tasks that must run exclusively. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { StepPermits } from "../../process/dispatch/permits.js";
 import { planStarts } from "../../process/dispatch/planner.js";
-import { PreemptionLooks } from "../../process/dispatch/preemption-looks.js";
+import { PreemptionAttempts } from "../../process/dispatch/preemption-attempts.js";
 import { NO_PROBATION } from "../../process/dispatch/probation.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { WorkerState } from "../../process/dispatch/worker-state.js";
@@ -13,13 +13,13 @@
 
 const NOW = 10_000;
 
-/** What a worker runs: `a` for a task that runs alone, `l` for one that lasts, `r` for any other. */
+/** Runs on a worker: `a` exclusive, `l` open-ended, `r` any other. */
 type Load = string;
 
 interface Case {
     readonly name: string;
     readonly workers: readonly Load[];
-    /** Steps of one job each; the first task of a step was lost as often as is said. */
+    /** Steps of one job each; `losses` counts the workers lost with the first task of the step. */
     readonly jobs: readonly (Partial<StepSpec> & { readonly losses?: number; })[];
     /** Tasks that are paused, as `job.index`. */
     readonly paused?: readonly string[];
@@ -41,19 +41,20 @@
         starts: ["0.0>w2", "0.1>w2", "0.2>w2"],
     },
     {
-        name: "leaves the worker with the fewest runs to become idle for a suspect",
+        name: "drains the worker with the fewest runs for a suspect",
         workers: ["rr", "r", "rrr"],
         jobs: [{ losses: 2 }, { taskCount: 8 }],
         starts: ["1.0>w3", "1.1>w1", "1.2>w1"],
     },
     {
-        name: "starts a suspect beside the fewest runs where tasks last on all workers, and nothing after it",
+        name:
+            "starts a suspect beside the fewest runs if all workers have open-ended runs, and nothing after it",
         workers: ["lrr", "l"],
         jobs: [{ losses: 2 }, { taskCount: 3 }],
         starts: ["0.0>w2", "1.0>w1"],
     },
     {
-        name: "keeps the only worker for a suspect's step until nothing else runs there",
+        name: "reserves the only worker for a suspect's step until nothing else runs there",
         workers: ["r"],
         jobs: [{ taskCount: 2, losses: 2 }, { taskCount: 2 }],
         starts: ["0.1>w1"],
@@ -77,13 +78,13 @@
         starts: ["0.0>w1", "0.1>w1", "0.2>w1", "0.3>w1"],
     },
     {
-        name: "keeps no worker for a gang that can never start",
+        name: "reserves no worker for a gang that can never start",
         workers: [""],
         jobs: [{ taskCount: 5, isGang: true, losses: 2 }, {}],
         starts: ["1.0>w1"],
     },
     {
-        name: "keeps no worker for a gang with a suspect that another gang goes before",
+        name: "reserves no worker for a gang with a suspect behind another gang",
         workers: ["", ""],
         jobs: [{ taskCount: 8, isGang: true }, { taskCount: 4, isGang: true, losses: 2 }],
         starts: ["w1", "w2"].flatMap((worker, half) =>
@@ -91,7 +92,7 @@
         ),
     },
     {
-        name: "keeps workers for one gang with a suspect at a time",
+        name: "reserves workers for one gang with a suspect at a time",
         workers: ["", ""],
         jobs: [{ taskCount: 8, isGang: true, losses: 2 }, { taskCount: 8, isGang: true, losses: 2 }],
         starts: ["w1", "w2"].flatMap((worker, half) =>
@@ -99,21 +100,21 @@
         ),
     },
     {
-        name: "leaves a paused task to wait, and starts the others",
+        name: "does not start a paused task, but starts the others",
         workers: [""],
         jobs: [{ taskCount: 2, losses: 3 }],
         paused: ["0.0"],
         starts: ["0.1>w1"],
     },
     {
-        name: "starts no member of a gang while one is paused, and keeps no room for it",
+        name: "starts no member of a gang while one is paused, and reserves nothing for it",
         workers: [""],
         jobs: [{ taskCount: 2, isGang: true, losses: 3 }, {}],
         paused: ["0.0"],
         starts: ["1.0>w1"],
     },
     {
-        name: "treats a task as usual that was lost once",
+        name: "starts a task that was lost once like any other",
         workers: ["r", ""],
         jobs: [{ losses: 1 }],
         starts: ["0.0>w1"],
@@ -124,7 +125,7 @@
     const worker = new WorkerState(makeWorkerRecord(`w${index + 1}`));
     [...load].forEach((kind, number) =>
         worker.addRun(makeRunRecord(`other-${index}-${number}`, {
-            isLasting: kind === "l",
+            isOpenEnded: kind === "l",
             isExclusive: kind === "a",
         }))
     );
@@ -148,12 +149,12 @@
     const plan = planStarts({
         waiting: [...book.listRunnable()].map(step => rankStep(step, QUEUE, NOW)),
         workersByPool: new Map([["pool", workers.map(makeWorker)]]),
-        unheardByPool: new Map(),
+        unreportedByPool: new Map(),
         getPermits: () => new StepPermits(),
-        preemptionLooks: new PreemptionLooks(),
+        preemptionAttempts: new PreemptionAttempts(),
         getClaimedCpu: () => 0,
         getAllowedShare: () => 0.4,
-        isAdviceShort: false,
+        isAdviceOverloaded: false,
         listRefusing: () => new Set(),
         probation: NO_PROBATION,
         isPaused: task => paused.includes(nameTask(task.name)),
--- a/src/test/dispatch/worker-session_test.ts
+++ b/src/test/dispatch/worker-session_test.ts
@@ -1,4 +1,4 @@
-/** A leader's session with one worker. */
+/** Tests a leader's session with one worker. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerSession } from "../../process/dispatch/worker-session.js";
@@ -11,9 +11,9 @@
 
 describe("WorkerSession", () => {
     it("counts an order's deadline as a lease", async () => {
-        // A task runs twice at once. A new leader gives a worker a task before any report request has renewed a lease
-        // there, and the worker goes silent. It was taken for lost at once, and its task was started elsewhere while it
-        // ran on until the order's deadline.
+        // A new leader gave a worker a task before a report request had renewed a lease there, and the worker
+        // became silent. It counted as lost at once, so its task was started elsewhere while it ran on until
+        // the order's deadline.
         const clock = new FakeClock();
         const port: TaskWorkerPort = {
             start: () => Promise.resolve({ kind: "done", value: WORKER_NOW }),
@@ -33,15 +33,15 @@
             inheritedLeaseEnd: -Infinity,
             listener: {
                 handleReport: () => undefined,
-                handleReachable: () => undefined,
-                handleBroken: () => undefined,
+                handleReachabilityChange: () => undefined,
+                handleConnectionFailure: () => undefined,
                 handleReplaced: () => undefined,
                 handleFenced: () => undefined,
                 handleSuspended: () => undefined,
-                mayExtend: () => true,
+                mayExtendLeases: () => true,
                 computeReportGap: () => 150,
                 computeReportWait: () => 1_000,
-                computeRepeatDelay: () => 150,
+                computeHedgeDelay: () => 150,
                 handleLostAnswer: () => undefined,
             },
         });
--- a/src/test/leader/advice-shortage_test.ts
+++ b/src/test/leader/advice-shortage_test.ts
@@ -9,7 +9,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Clock, Millis } from "../../common/clock.js";
-import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
+import type { AdviceCaller } from "../../process/dispatch/advice-dispatcher.js";
 import type { StepSpec } from "../../process/jobs/job-spec.js";
 import type { CallerReply } from "../../process/leader/requests.js";
 import type { AdvicePolicy, QueueConfig } from "../../version/cluster-config.js";
--- a/src/test/leader/day-advice.ts
+++ b/src/test/leader/day-advice.ts
@@ -1,6 +1,6 @@
 /** The advice service of a random day and the nodes that call it for a leader, with their faults. */
 import type { Clock, Millis } from "../../common/clock.js";
-import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
+import type { AdviceCaller } from "../../process/dispatch/advice-dispatcher.js";
 import { parseTaskName } from "../../process/jobs/job-spec.js";
 import type { AdviceAnswer } from "../../process/ports/task-worker-port.js";
 import type { AdvicePolicy } from "../../version/cluster-config.js";
--- a/src/test/leader/day-callers.ts
+++ b/src/test/leader/day-callers.ts
@@ -1,7 +1,7 @@
 /** The callers of a random day: they submit jobs, some repeatedly, cancel some, and check how they ended. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
-import { countFitting } from "../../process/dispatch/question-size.js";
+import { countFitting } from "../../process/dispatch/request-size.js";
 import type { JobSpec } from "../../process/jobs/job-spec.js";
 import { isStepReady, listSteps, TaskState } from "../../process/jobs/job.js";
 import type { Step } from "../../process/jobs/job.js";
--- a/src/test/leader/permit-coordinator_test.ts
+++ b/src/test/leader/permit-coordinator_test.ts
@@ -2,8 +2,8 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Millis } from "../../common/clock.js";
-import { AdviceDesk } from "../../process/dispatch/advice-desk.js";
-import type { PermitWish } from "../../process/dispatch/plan.js";
+import { AdviceDispatcher } from "../../process/dispatch/advice-dispatcher.js";
+import type { PermitRequest } from "../../process/dispatch/plan.js";
 import { rankStep } from "../../process/dispatch/urgency.js";
 import { JobRegistry } from "../../process/jobs/job-registry.js";
 import { PermitCoordinator } from "../../process/leader/permit-coordinator.js";
@@ -18,7 +18,7 @@
 /** A step that needs permits, and the component that requests them. */
 class PermitFixture {
     readonly clock = new FakeClock();
-    readonly advice = new AdviceDesk(this.clock, createFakeLog());
+    readonly advice = new AdviceDispatcher(this.clock, createFakeLog());
     readonly coordinator: PermitCoordinator;
     private readonly jobs = new JobRegistry();
 
@@ -32,10 +32,10 @@
         this.jobs.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
     }
 
-    makeRequest(workerIds: readonly string[], hasRoom: boolean): PermitWish {
+    makeRequest(workerIds: readonly string[], hasRoom: boolean): PermitRequest {
         const [step] = this.jobs.listRunnable();
         assert(step !== undefined);
-        return { urgency: rankStep(step, ASKING, 0), workerIds, hasRoom };
+        return { urgency: rankStep(step, ASKING, 0), workerIds, hasCapacity: hasRoom };
     }
 }
 
--- a/src/test/leader/wait-cause_test.ts
+++ b/src/test/leader/wait-cause_test.ts
@@ -45,14 +45,14 @@
 function makePermits(answeredAt: number): StepPermits {
     const permits = new StepPermits();
     const granted = [{ workerId: "w1", token: "t" }, { workerId: "w2", token: "t" }];
-    permits.startQuestion(answeredAt - 100, 4);
-    permits.endQuestion();
+    permits.startRequest(answeredAt - 100, 4);
+    permits.endRequest();
     permits.accept(["w1", "w2", "w3", "w4"], granted, answeredAt, VALID_MS);
     return permits;
 }
 
 function addRequest(permits: StepPermits, since: number, nodeName?: string): StepPermits {
-    permits.startQuestion(since, 8);
+    permits.startRequest(since, 8);
     if (nodeName !== undefined) {
         permits.observeSent(nodeName, since + 50);
     }
--- a/src/test/leader/waiting-report_test.ts
+++ b/src/test/leader/waiting-report_test.ts
@@ -1,7 +1,7 @@
 /** Log lines about steps that wait for a long time: each states its reason, and their number is limited. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
+import type { AdviceCaller } from "../../process/dispatch/advice-dispatcher.js";
 import type { JobEvent } from "../../process/jobs/job-events.js";
 import { makeRecordKey } from "../../process/journal/keys.js";
 import { encodeJournalRecord } from "../../process/journal/records.js";
--- a/src/test/node/remote-advice_test.ts
+++ b/src/test/node/remote-advice_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { LinkAnswer } from "../../connection/node-link.js";
-import type { AdviceCaller } from "../../process/dispatch/advice-desk.js";
+import type { AdviceCaller } from "../../process/dispatch/advice-dispatcher.js";
 import type { LeadershipTerm } from "../../process/node/leadership-term.js";
 import type { InboundLink } from "../../process/node/link-server.js";
 import { addRemoteCaller } from "../../process/node/remote-advice.js";
