--- a/src/process/entry.ts
+++ b/src/process/entry.ts
@@ -296,7 +296,7 @@
             tableRevision: this.ownership.getRevision(),
             storeContactAgeMs: contact === undefined ? -1 : this.options.clock.now() - contact,
             draining: this.draining,
-            suspects: this.ownership.suspicion.listSuspects(),
+            suspects: this.ownership.failureDetector.listSuspects(),
             slices: this.placer.listSlices(),
             // Use by team is for this entry's own status: at 410 teams it would make a digest of 300 bytes 23 KB.
             load: { ...load, teamUse: {} },
--- a/src/process/home/home-role.ts
+++ b/src/process/home/home-role.ts
@@ -7,26 +7,28 @@
 import { DEFAULT_HOME_OPTIONS } from "./options.js";
 import { buildNotOwner, refuseWith } from "./run/refusals.js";
 
-/** Part of the cell's write budget that home slices use; the rest is for ownership and the tree. */
+/**
+ * Share of the cell's store write budget for home slices; the rest is for ownership and the settings tree.
+ */
 const WRITE_SHARE = 0.8;
 const DEFAULT_WRITES_PER_SECOND = 200;
 
 /** All home slices of one entry. */
-class Home implements HomeRole {
+class EntryHomeRole implements HomeRole {
     private readonly slices = new Map<number, HomeSlice>();
     private readonly pacer: CommitPacer;
 
     constructor(private readonly context: RoleContext, private readonly options: HomeOptions) {
         this.pacer = new CommitPacer(context.clock, () => this.getWriteRate());
-        context.ownership.subscribe(() => this.handleTable());
+        context.ownership.subscribe(() => this.handleTableChange());
     }
 
     openSlice(slice: number, epoch: number): void {
-        const before = this.slices.get(slice);
-        if (before !== undefined && before.epoch >= epoch) {
+        const previous = this.slices.get(slice);
+        if (previous !== undefined && previous.epoch >= epoch) {
             return;
         }
-        before?.close();
+        previous?.close();
         const opened = new HomeSlice(this.context, this.options, slice, epoch, this.pacer, {
             handleLost: (lost, lostEpoch) => this.dropSlice(lost, lostEpoch),
         });
@@ -88,7 +90,7 @@
         }
     }
 
-    private handleTable(): void {
+    private handleTableChange(): void {
         for (const slice of this.slices.values()) {
             slice.getOpen()?.handleTable();
         }
@@ -96,17 +98,16 @@
 
     private getWriteRate(): number {
         const { settings, ownership } = this.context;
-        const all = settings.getCurrent()?.cell.storeWritesPerSecond ?? DEFAULT_WRITES_PER_SECOND;
+        const cellRate = settings.getCurrent()?.cell.storeWritesPerSecond ?? DEFAULT_WRITES_PER_SECOND;
         const members = Math.max(1, ownership.listMembers().length);
-        return Math.max(1, all * WRITE_SHARE / members);
+        return Math.max(1, cellRate * WRITE_SHARE / members);
     }
 }
 
 /**
  * Creates the home role.
- * @param context - What every role is given.
- * @param options - Limits that differ from the defaults.
+ * @param options - Limits that override the defaults.
  */
 export function createHomeRole(context: RoleContext, options: Partial<HomeOptions> = {}): HomeRole {
-    return new Home(context, { ...DEFAULT_HOME_OPTIONS, ...options });
+    return new EntryHomeRole(context, { ...DEFAULT_HOME_OPTIONS, ...options });
 }
--- a/src/process/home/home-slice.ts
+++ b/src/process/home/home-slice.ts
@@ -1,4 +1,4 @@
-/** One home slice of this entry: opened, served in rounds, and closed. */
+/** One home slice of this entry: taken over, served and closed. */
 import type { Millis, Timer } from "../../common/clock.js";
 import type { HomeReply, HomeRequest, UpdateNote } from "../../connection/messages.js";
 import type { RoleContext } from "../roles.js";
@@ -11,7 +11,7 @@
 const FAULT_RETRY_MS: Millis = 30_000;
 const DRAIN_POLL_MS: Millis = 20;
 
-/** What a slice tells the role. */
+/** Receives the events of a slice. */
 export interface HomeSliceListener {
     /** Another entry owns the slice now. */
     handleLost(slice: number, epoch: number): void;
@@ -34,13 +34,13 @@
         private readonly listener: HomeSliceListener,
     ) {}
 
-    /** Takes the slice over; it serves when {@link getOpen} gives a value. */
+    /** Takes over the slice; it serves once {@link getOpen} returns a value. */
     async takeOver(): Promise<void> {
         const writer = { slice: this.slice, epoch: this.epoch, writer: this.context.memberId };
         const scope = { context: this.context, isStopped: () => this.isClosed };
         const result = await openSlice(scope, writer, this.options.slots);
-        // Closed while the last answer was under way: opened now, it would take its census for ever with nobody to
-        // stop it, and keep the process from ending.
+        // The slice was closed while the last store call was in flight. If it opened now, nothing would ever
+        // stop its census, which would keep the process from exiting.
         if (this.isClosed) {
             return;
         }
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Whether it takes new requests; one that is being handed over does not. */
+    /** Whether the slice accepts requests; a slice that is being handed over does not. */
     isServing(): boolean {
         return this.getOpen() !== undefined && !this.isDraining;
     }
@@ -92,7 +92,7 @@
         this.getOpen()?.receiveUpdates(from, note);
     }
 
-    /** Gives the slice to another entry: requests in flight finish and everything is written. */
+    /** Closes the slice for a handover, once pending requests have finished and all entries are written. */
     async releaseSlice(): Promise<void> {
         this.isDraining = true;
         if (this.open !== undefined && !this.isClosed) {
@@ -103,7 +103,7 @@
         this.close();
     }
 
-    /** Drops the slice at once. */
+    /** Closes the slice at once. */
     close(): void {
         this.isClosed = true;
         this.faultTimer?.cancel();
@@ -129,7 +129,9 @@
         this.listener.handleLost(this.slice, this.epoch);
     }
 
-    /** The slice stays closed and says so, and is read again now and then: an operator may have mended it. */
+    /**
+     * Refuses requests with the fault, and reads the slice again later, as an operator may have repaired it.
+     */
     private reportFault(fault: RecordFault): void {
         this.fault = fault;
         const code = fault.code === "newerFormat" ? "CR1702" : "CR1701";
@@ -137,7 +139,7 @@
             slice: this.slice,
             key: fault.key,
             found: fault.message,
-            remedy: "see docs/RECOVERY.md; nothing of this slice starts until it is mended",
+            remedy: "see docs/RECOVERY.md; no work of this slice starts until it is repaired",
         });
         this.context.metrics.count("home.faults", 1, { slice: String(this.slice) });
         this.faultTimer = this.context.clock.schedule(FAULT_RETRY_MS, () => void this.takeOver());
--- a/src/process/home/log/keys.ts
+++ b/src/process/home/log/keys.ts
@@ -6,12 +6,12 @@
     return `home/${slice}/`;
 }
 
-/** Key of the record that names the snapshot. */
+/** Key of the head, the record that names the current snapshot. */
 export function makeHeadKey(slice: number): string {
     return `${makeSlicePrefix(slice)}head`;
 }
 
-/** Key that a record of the ring stands at. */
+/** Key of the ring that holds the record with this sequence. */
 export function makeSlotKey(slice: number, sequence: number, slots: number): string {
     return `${makeSlicePrefix(slice)}slot/${sequence % slots}`;
 }
--- a/src/process/home/log/open-log.ts
+++ b/src/process/home/log/open-log.ts
@@ -1,4 +1,4 @@
-/** Taking a home slice: read it back, fence the owner before, and only then write. */
+/** Takes over a home slice: reads its records, fences the previous owner, and only then writes. */
 import type { Millis } from "../../../common/clock.js";
 import { sleep } from "../../../common/clock.js";
 import type { RoleContext } from "../../roles.js";
@@ -13,15 +13,15 @@
 import { settleWrite } from "./settle-write.js";
 import { SnapshotWriter } from "./snapshot-writer.js";
 
-const LIST_PATIENCE_MS: Millis = 5_000;
-const PAUSE_WHEN_AWAY_MS: Millis = 500;
+const LIST_TIMEOUT_MS: Millis = 5_000;
+const STORE_RETRY_DELAY_MS: Millis = 500;
 
-/** A slice that is read back and fenced. */
+/** A slice recovered from the store, with its previous owners fenced. */
 export interface OpenedSlice {
     readonly state: HomeState;
     readonly lastSequence: number;
     readonly slots: number;
-    /** Revision of each slot's key. */
+    /** Revision of each key of the ring, by key. */
     readonly slotRevisions: Map<string, number>;
     readonly snapshots: SnapshotWriter;
     readonly uncoveredBytes: number;
@@ -31,16 +31,15 @@
 export type OpenResult =
     | { readonly kind: "open"; readonly opened: OpenedSlice; }
     | { readonly kind: "fault"; readonly fault: RecordFault; }
-    /** A higher epoch has written: this entry no longer owns the slice. */
+    /** A record of a higher epoch was found: another entry owns the slice. */
     | { readonly kind: "fenced"; }
     | { readonly kind: "stopped"; };
 
 /**
- * Takes a slice over, for as long as it needs.
+ * Takes over a slice. Retries until it succeeds, meets a fault or a higher epoch, or the scope is stopped.
  *
- * @param scope - Store, clock and whether to stop.
  * @param writer - The slice, and this owner with its epoch.
- * @param slots - Number of slots if the slice is new.
+ * @param slots - Size of the ring if the slice is new; an existing slice keeps its own.
  */
 export async function openSlice(
     scope: WriteScope & { readonly context: Pick<RoleContext, "log">; },
@@ -48,9 +47,9 @@
     slots: number,
 ): Promise<OpenResult> {
     while (!scope.isStopped()) {
-        const listing = await scope.context.store.list(makeSlicePrefix(writer.slice), LIST_PATIENCE_MS);
+        const listing = await scope.context.store.list(makeSlicePrefix(writer.slice), LIST_TIMEOUT_MS);
         if (listing.kind === "unavailable") {
-            await sleep(scope.context.clock, PAUSE_WHEN_AWAY_MS);
+            await sleep(scope.context.clock, STORE_RETRY_DELAY_MS);
             continue;
         }
         const pause = (): Promise<void> => sleep(scope.context.clock, 0);
@@ -70,11 +69,11 @@
 }
 
 /**
- * Fences the owner before.
+ * Fences the previous owner, which may have been paused and may resume with a write in flight.
  *
- * @remarks Guards against an owner that paused, lost the slice and wakes with a write under way. The head is
- * written first, so that its snapshots are refused; then the record that it would write next, so that its
- * records are refused. If it was quicker with either, the write here is refused and the slice is read again.
+ * @remarks The head is written first, so that the previous owner's snapshots are refused, then the record at
+ * the next sequence, so that its records are refused. If the previous owner wrote either of them first, the
+ * write here is refused and the slice is read again.
  * @returns Undefined when the slice must be read again.
  */
 async function claimSlice(
@@ -90,16 +89,16 @@
         expectedRevision: image.headRevision,
     });
     if (headWrite.kind !== "done") {
-        await sleep(scope.context.clock, PAUSE_WHEN_AWAY_MS);
+        await sleep(scope.context.clock, STORE_RETRY_DELAY_MS);
         return undefined;
     }
     const snapshots = new SnapshotWriter(scope, head, headWrite.revision, image.revisions);
     const sequence = image.lastSequence + 1;
     if (sequence - head.slots > head.covers) {
-        // The owner before stopped with a full ring: its oldest record must be covered before it is overwritten.
+        // The ring is full: a snapshot must cover its oldest record before that record is overwritten.
         const items = listSnapshotItems(image.state);
-        const { lastSequence: covers, state: { logTime: at } } = image;
-        if (await snapshots.writeSnapshot({ covers, at, items }) !== "done") {
+        const { lastSequence: covers, state: { logTime } } = image;
+        if (await snapshots.writeSnapshot({ coveredSequence: covers, logTime, items }) !== "done") {
             return undefined;
         }
     }
@@ -119,7 +118,7 @@
         expectedRevision: image.revisions.get(key) ?? 0,
     });
     if (logWrite.kind !== "done") {
-        await sleep(scope.context.clock, PAUSE_WHEN_AWAY_MS);
+        await sleep(scope.context.clock, STORE_RETRY_DELAY_MS);
         return undefined;
     }
     const slotRevisions = new Map(image.revisions);
@@ -136,7 +135,7 @@
 }
 
 function buildHead(writer: RecordWriter, slots: number, image: SliceImage): HeadRecord {
-    const fresh: HeadRecord = {
+    const emptyHead: HeadRecord = {
         ...writer,
         kind: "head",
         slots,
@@ -145,5 +144,5 @@
         set: SnapshotSet.first,
         parts: [],
     };
-    return { ...(image.head ?? fresh), ...writer };
+    return { ...(image.head ?? emptyHead), ...writer };
 }
--- a/src/process/home/log/pacer.ts
+++ b/src/process/home/log/pacer.ts
@@ -1,6 +1,6 @@
 /**
- * Spreads the writes of all home slices of an entry: at once while there are few, further apart as they become
- * many, so that batches grow instead of writes.
+ * Limits the write rate of all home slices of an entry. Up to a burst, writes go out at once; beyond it they
+ * are spaced out, so that the batches grow rather than the number of writes.
  */
 import type { Clock, Millis } from "../../../common/clock.js";
 import { sleep } from "../../../common/clock.js";
@@ -8,14 +8,13 @@
 const BURST_WRITES = 16;
 const SECOND_MS: Millis = 1_000;
 
-/** Gives out turns to write, in the order in which they are asked for (generic cell rate algorithm). */
+/** Grants turns to write in the order of the requests, by the generic cell rate algorithm (GCRA). */
 export class CommitPacer {
-    /** Instant at which the turns given out so far would be used up at the steady rate. */
-    private usedUntil: Millis = -Infinity;
+    /** Time at which the turns granted so far are used up at the steady rate. */
+    private theoreticalArrivalTime: Millis = -Infinity;
 
     /**
-     * @param clock - Where time comes from.
-     * @param getRate - Writes a second that may be used now.
+     * @param getRate - Returns the writes per second that are allowed now.
      */
     constructor(private readonly clock: Clock, private readonly getRate: () => number) {}
 
@@ -23,8 +22,8 @@
     async takeTurn(): Promise<void> {
         const now = this.clock.now();
         const spacing = SECOND_MS / this.getRate();
-        const turnAt = this.usedUntil - (BURST_WRITES - 1) * spacing;
-        this.usedUntil = Math.max(this.usedUntil, now) + spacing;
+        const turnAt = this.theoreticalArrivalTime - (BURST_WRITES - 1) * spacing;
+        this.theoreticalArrivalTime = Math.max(this.theoreticalArrivalTime, now) + spacing;
         if (turnAt > now) {
             await sleep(this.clock, turnAt - now);
         }
--- a/src/process/home/log/read-back.ts
+++ b/src/process/home/log/read-back.ts
@@ -1,13 +1,13 @@
-/** Builds the state of a home slice from a listing of its keys, or says why that cannot be done. */
+/** Recovers the state of a home slice from a listing of its keys, or reports why that is impossible. */
 import type { StoreListing, StoreRecord } from "../../ports/index.js";
 import { HomeState, restoreSnapshotItem } from "../state/index.js";
 import { makeHeadKey, makePartKey, makeSlicePrefix, makeSlotKey } from "./keys.js";
 import type { DecodeResult, HeadRecord, LogRecord, RecordFault } from "./records.js";
 import { decodeRecord, SnapshotSet } from "./records.js";
 
-const RECORDS_BETWEEN_PAUSES = 8;
+const RECORDS_BETWEEN_YIELDS = 8;
 
-/** A slice as it stands in the store. */
+/** The content of a slice in the store. */
 export interface SliceImage {
     /** Undefined for a slice that nobody has opened yet. */
     readonly head: HeadRecord | undefined;
@@ -24,10 +24,9 @@
 }
 
 /**
- * Reads a slice back.
- * @param slice - Number of the slice.
+ * Recovers a slice.
  * @param listing - All keys under the slice's prefix.
- * @param pause - Lets other work of the entry go on; called between pieces of at most a few milliseconds.
+ * @param pause - Yields to other work of the entry; called between steps of at most a few milliseconds.
  */
 export async function buildImage(
     slice: number,
@@ -55,7 +54,7 @@
     }
     let highestEpoch = head.value.epoch;
     for (const [index, record] of log.value.records.entries()) {
-        if (index % RECORDS_BETWEEN_PAUSES === 0) {
+        if (index % RECORDS_BETWEEN_YIELDS === 0) {
             await pause();
         }
         highestEpoch = Math.max(highestEpoch, record.epoch);
@@ -78,7 +77,7 @@
     };
 }
 
-/** A slice without a head must have no records: the head is written before the first. */
+/** A slice without a head must have no records, since the head is written before the first of them. */
 function buildEmptyImage(
     slice: number,
     listing: StoreListing,
@@ -130,7 +129,7 @@
     return undefined;
 }
 
-/** Records after the snapshot, in order and without a gap. */
+/** Returns the records after the snapshot in order, or a fault if one is damaged or missing. */
 function collectLog(
     slice: number,
     head: HeadRecord,
@@ -161,8 +160,8 @@
 }
 
 /**
- * Guards against a lost or altered record: it shows as a hole in the sequence or as an epoch that falls, since
- * every record is written by compare-and-swap over the one a whole ring before, in order, one at a time.
+ * Finds a lost or altered record: it shows as a gap in the sequence or as a decreasing epoch, since records
+ * are written in order, one at a time, each by compare-and-swap over the record one whole ring earlier.
  */
 function findGap(
     slice: number,
@@ -192,7 +191,7 @@
     return { kind: "fault", fault: { key, code: "corrupt", message } };
 }
 
-/** The set that a snapshot may be written to while the other counts. */
+/** Returns the other set of keys, to which a snapshot may be written while this one is current. */
 export function getOtherSet(set: SnapshotSet): SnapshotSet {
     return set === SnapshotSet.first ? SnapshotSet.second : SnapshotSet.first;
 }
--- a/src/process/home/log/records.ts
+++ b/src/process/home/log/records.ts
@@ -1,8 +1,9 @@
 /**
- * The texts that a home slice keeps in the store: records of the ring, parts of a snapshot, and the head.
+ * Encoding of the values that a home slice keeps in the store: records of the ring, parts of a snapshot, the
+ * head.
  *
- * @remarks Each carries a format number and a checksum. A value that does not pass is refused with a remedy;
- * nothing is ever skipped, since a skipped record could be a start marker, and its work would run twice.
+ * @remarks Each carries a format number and a checksum. A value that fails the check is reported as a fault
+ * and never skipped: a skipped record could be a start marker, and its work would run twice.
  */
 import { createHash } from "node:crypto";
 import type { Millis } from "../../../common/clock.js";
@@ -11,7 +12,7 @@
 /** Format that this program writes, and the highest that it reads. */
 export const RECORD_FORMAT = 1;
 
-/** Who wrote a record. */
+/** The slice of a record, and the owner and epoch that wrote it. */
 export interface RecordWriter {
     readonly slice: number;
     readonly epoch: number;
@@ -21,7 +22,7 @@
 /** One record of the ring: a batch of entries. */
 export interface LogRecord extends RecordWriter {
     readonly kind: "log";
-    /** Place in the order of all records of the slice, from 1. */
+    /** Position in the order of all records of the slice, from 1. */
     readonly sequence: number;
     /** Log time at which it was written. */
     readonly at: Millis;
@@ -37,10 +38,10 @@
     readonly items: readonly string[];
 }
 
-/** The record that says which snapshot counts. */
+/** The record that names the current snapshot. */
 export interface HeadRecord extends RecordWriter {
     readonly kind: "head";
-    /** Number of keys of the ring; fixed for the life of the slice. */
+    /** Number of keys of the ring; never changes once the slice has been opened. */
     readonly slots: number;
     readonly covers: number;
     /** Log time of the snapshot. */
@@ -59,7 +60,7 @@
 
 export type StoredRecord = LogRecord | SnapshotPart | HeadRecord;
 
-/** A value that cannot be used. */
+/** A stored value that cannot be decoded or does not belong under its key. */
 export interface RecordFault {
     readonly key: string;
     readonly code: "newerFormat" | "corrupt";
@@ -71,8 +72,7 @@
     | { readonly kind: "fault"; readonly fault: RecordFault; };
 
 /**
- * Writes a record as text.
- * @param record - The record.
+ * Encodes a record as format number, checksum and JSON body.
  */
 export function encodeRecord(record: StoredRecord): string {
     const body = JSON.stringify(record);
@@ -80,10 +80,9 @@
 }
 
 /**
- * Reads a record.
- * @param key - Key that it stands at, for the fault's message.
- * @param text - The stored text.
- * @param kind - Kind of record that belongs there.
+ * Decodes a record and checks its format, checksum, kind and slice.
+ * @param key - Key of the record, for the fault.
+ * @param kind - Kind of record that belongs under the key.
  * @param slice - Slice that it must belong to.
  */
 export function decodeRecord<Kind extends StoredRecord["kind"]>(
--- a/src/process/home/log/settle-write.ts
+++ b/src/process/home/log/settle-write.ts
@@ -1,4 +1,4 @@
-/** One write of a home slice's log, carried on until its result is certain. */
+/** Writes a value of a home slice and retries until the result is certain. */
 import type { Millis } from "../../../common/clock.js";
 import { sleep } from "../../../common/clock.js";
 import type { StoreRecord } from "../../ports/index.js";
@@ -7,45 +7,47 @@
 /** Result of {@link settleWrite}. */
 export type SettledWrite =
     | { readonly kind: "done"; readonly revision: number; }
-    /** Surely without effect. */
+    /** Certainly without effect. */
     | { readonly kind: "unavailable"; }
     | { readonly kind: "tooLarge"; }
-    /** Another record stands there. `mayHaveStood`: ours may have stood there before it. */
-    | { readonly kind: "lost"; readonly current: StoreRecord | undefined; readonly mayHaveStood: boolean; }
-    /** The slice was closed first. */
-    | { readonly kind: "stopped"; readonly mayHaveStood: boolean; };
+    /**
+     * The key holds another record. `mayHaveApplied`: this write may have taken effect before that record.
+     */
+    | { readonly kind: "lost"; readonly current: StoreRecord | undefined; readonly mayHaveApplied: boolean; }
+    /** The slice was closed before the result was certain. */
+    | { readonly kind: "stopped"; readonly mayHaveApplied: boolean; };
 
-/** What a write of the log needs. */
+/** Dependencies of a write. */
 export interface WriteScope {
     readonly context: Pick<RoleContext, "store" | "clock" | "random" | "metrics">;
     isStopped(): boolean;
 }
 
-/** What is to be written. */
+/** A compare-and-swap of one key. */
 export interface LogWrite {
     readonly key: string;
     readonly value: string;
     readonly expectedRevision: number;
 }
 
-/** Patience of one try. */
-export const TRY_PATIENCE_MS: Millis = 2_000;
-const RETRY_PAUSE_MS: Millis = 250;
+/** Timeout of one attempt. */
+export const ATTEMPT_TIMEOUT_MS: Millis = 2_000;
+const RETRY_DELAY_MS: Millis = 250;
 
 /**
  * Writes by compare-and-swap until the result is certain.
  *
- * @remarks Guards against the lost answer of a write that took effect: it shows as `unknown`. The same text is
- * written again on the same expected revision, so that at most one of the tries can take effect, and the text
- * names its writer and sequence, so that finding it in place means that it is ours.
+ * @remarks The result `unknown` may be the lost answer of a write that took effect. The same text is then
+ * written again with the same expected revision, so that at most one attempt takes effect. The text names its
+ * writer and sequence, so finding it in the store proves that this write took effect.
  */
 export async function settleWrite(scope: WriteScope, write: LogWrite): Promise<SettledWrite> {
-    let mayStand = false;
+    let isUncertain = false;
     for (;;) {
         if (scope.isStopped()) {
-            return { kind: "stopped", mayHaveStood: mayStand };
+            return { kind: "stopped", mayHaveApplied: isUncertain };
         }
-        const result = await scope.context.store.write({ ...write, patienceMs: TRY_PATIENCE_MS });
+        const result = await scope.context.store.write({ ...write, patienceMs: ATTEMPT_TIMEOUT_MS });
         switch (result.kind) {
             case "done":
                 return { kind: "done", revision: result.revision };
@@ -55,21 +57,21 @@
                 if (current !== undefined && current.value === write.value) {
                     return { kind: "done", revision: current.revision };
                 }
-                const mayHaveStood = mayStand || result.kind === "superseded";
-                return { kind: "lost", current, mayHaveStood };
+                const mayHaveApplied = isUncertain || result.kind === "superseded";
+                return { kind: "lost", current, mayHaveApplied: mayHaveApplied };
             }
             case "tooLarge":
             case "noLease":
                 return { kind: "tooLarge" };
             case "unavailable":
-                if (!mayStand) {
+                if (!isUncertain) {
                     return { kind: "unavailable" };
                 }
                 break;
             case "unknown":
-                mayStand = true;
+                isUncertain = true;
                 break;
         }
-        await sleep(scope.context.clock, RETRY_PAUSE_MS * (1 + scope.context.random.pickFraction()));
+        await sleep(scope.context.clock, RETRY_DELAY_MS * (1 + scope.context.random.pickFraction()));
     }
 }
--- a/src/process/home/log/slice-log.ts
+++ b/src/process/home/log/slice-log.ts
@@ -1,9 +1,9 @@
 /**
- * The durable log of one home slice: batches of entries in a ring of keys, each written by compare-and-swap on
- * the revision that the key is known to have, and snapshots that cover a record before it is overwritten.
+ * The durable log of one home slice: batches of entries in a ring of keys, each written by compare-and-swap
+ * on the last known revision of its key, and snapshots that cover a record before it is overwritten.
  *
- * @remarks One batch is under way at a time; what arrives meanwhile goes into the next (group commit). The state
- * is changed only by entries that are in the store.
+ * @remarks One batch is in flight at a time; entries that arrive meanwhile go into the next one (group
+ * commit). The state is changed only by entries that the store holds.
  */
 import type { Millis } from "../../../common/clock.js";
 import { sleep } from "../../../common/clock.js";
@@ -13,27 +13,33 @@
 import { makeSlotKey } from "./keys.js";
 import type { OpenedSlice } from "./open-log.js";
 import type { CommitPacer } from "./pacer.js";
+import type { AppendResult } from "./pending-append.js";
+import { PendingAppend } from "./pending-append.js";
 import type { RecordWriter } from "./records.js";
 import { decodeRecord, encodeRecord } from "./records.js";
 import type { WriteScope } from "./settle-write.js";
 import { settleWrite } from "./settle-write.js";
-import type { AppendResult } from "./ticket.js";
-import { Ticket } from "./ticket.js";
 
-/** Most bytes of entries in one record: with escaping and envelope it stays under the store's limit of 1 MB. */
+/** Maximum bytes of entries in a record: with escaping and envelope it stays below the store's 1 MB limit. */
 export const MAX_RECORD_BYTES = 400_000;
-/** Appends that may wait for a write; more are refused, so that a store outage cannot fill the memory. */
-export const MAX_WAITING_APPENDS = 20_000;
-/** Most bytes of all waiting appends. */
-export const MAX_WAITING_BYTES = 32_000_000;
-const UNCOVERED_BYTES = 2_000_000;
-/** Part of the ring that is filled before a snapshot begins; the rest takes what is written meanwhile. */
-const SNAPSHOT_SHARE = 0.5;
-const PAUSE_WHEN_AWAY_MS: Millis = 500;
+/**
+ * Queued appends beyond which {@link SliceLog.hasCapacity} is false, so that a store outage cannot exhaust
+ * memory.
+ */
+export const MAX_QUEUED_APPENDS = 20_000;
+/** Total bytes of queued appends beyond which {@link SliceLog.hasCapacity} is false. */
+export const MAX_QUEUED_BYTES = 32_000_000;
+/** Bytes of records not covered by a snapshot that start one, however few the records are. */
+const SNAPSHOT_AFTER_BYTES = 2_000_000;
+/**
+ * Share of the ring that is filled before a snapshot begins; the rest holds the records written meanwhile.
+ */
+const SNAPSHOT_RING_SHARE = 0.5;
+const STORE_RETRY_DELAY_MS: Millis = 500;
 
-/** What a log tells its slice. */
+/** Receives the events of a log. */
 export interface LogListener {
-    /** Another owner has taken the slice: nothing more can be written. */
+    /** Another owner has taken over the slice: nothing more can be written. */
     handleFenced(): void;
 }
 
@@ -44,14 +50,14 @@
     private readonly slots: number;
     private readonly slotRevisions: Map<string, number>;
     private readonly opened: OpenedSlice;
-    private queue: Ticket[] = [];
+    private queue: PendingAppend[] = [];
     private queuedBytes = 0;
     private writing = false;
-    private snapshotting: Promise<void> | undefined;
+    private pendingSnapshot: Promise<void> | undefined;
     private uncoveredBytes: number;
     private sealed = false;
     private fenced = false;
-    private awayUntil: Millis = -Infinity;
+    private unavailableUntil: Millis = -Infinity;
     private readonly logBase: Millis;
     private readonly openedAt: Millis;
     private records = 0;
@@ -59,8 +65,8 @@
     /**
      * @param scope - Store, clock and whether the slice is closed.
      * @param writer - The slice, and this owner with its epoch.
-     * @param opened - The slice as it was read back.
-     * @param pacer - Spreads the writes of this slice.
+     * @param opened - The slice as recovered from the store.
+     * @param pacer - Limits the write rate of all slices of this entry.
      */
     constructor(
         private readonly scope: WriteScope,
@@ -80,22 +86,22 @@
         this.startSnapshotIfDue();
     }
 
-    /** Log time now; see {@link HomeState}. */
+    /** Current log time; see {@link HomeState}. */
     getLogTime(): Millis {
         return this.logBase + this.scope.context.clock.now() - this.openedAt;
     }
 
-    /** Whether the last write found the store away, a moment ago. */
-    isAway(): boolean {
-        return this.scope.context.clock.now() < this.awayUntil;
+    /** Whether the last write found the store unavailable within the last {@link STORE_RETRY_DELAY_MS}. */
+    isStoreUnavailable(): boolean {
+        return this.scope.context.clock.now() < this.unavailableUntil;
     }
 
-    /** Whether there is room for entries that can be told again later. */
-    hasRoom(): boolean {
-        return this.queue.length < MAX_WAITING_APPENDS && this.queuedBytes < MAX_WAITING_BYTES;
+    /** Whether the queue has capacity for entries that their sender can repeat later. */
+    hasCapacity(): boolean {
+        return this.queue.length < MAX_QUEUED_APPENDS && this.queuedBytes < MAX_QUEUED_BYTES;
     }
 
-    /** Records written by this owner. */
+    /** Number of records written by this owner. */
     countRecords(): number {
         return this.records;
     }
@@ -103,36 +109,36 @@
     /**
      * Makes entries durable, all in one record.
      * @param entries - What to write.
-     * @param patienceMs - How long to try; undefined for as long as it needs. With a limit, a store that is
-     * known to be away is answered at once.
+     * @param timeoutMs - How long to try, in ms; undefined without limit. With a limit, the append is refused
+     * at once if the store is known to be unavailable or the queue is full.
      */
-    commit(entries: readonly HomeEntry[], patienceMs?: Millis): Promise<AppendResult> {
-        const ticket = new Ticket(entries, patienceMs !== undefined);
-        if (ticket.bytes > MAX_RECORD_BYTES) {
+    commit(entries: readonly HomeEntry[], timeoutMs?: Millis): Promise<AppendResult> {
+        const append = new PendingAppend(entries, timeoutMs !== undefined);
+        if (append.bytes > MAX_RECORD_BYTES) {
             return Promise.resolve({ kind: "notWritten", reason: "tooLarge" });
         }
         if (this.sealed || this.fenced || this.scope.isStopped()) {
             return Promise.resolve({ kind: "notWritten", reason: "closed" });
         }
-        if (patienceMs !== undefined && (this.isAway() || !this.hasRoom())) {
+        if (timeoutMs !== undefined && (this.isStoreUnavailable() || !this.hasCapacity())) {
             return Promise.resolve({ kind: "notWritten", reason: "unavailable" });
         }
-        const begin = this.scope.context.clock.now();
-        this.queue.push(ticket);
-        this.queuedBytes += ticket.bytes;
-        if (patienceMs !== undefined) {
-            const timer = this.scope.context.clock.schedule(patienceMs, () => this.expireTicket(ticket));
-            ticket.subscribe(() => timer.cancel());
+        const queuedAt = this.scope.context.clock.now();
+        this.queue.push(append);
+        this.queuedBytes += append.bytes;
+        if (timeoutMs !== undefined) {
+            const timer = this.scope.context.clock.schedule(timeoutMs, () => this.expireAppend(append));
+            append.subscribe(() => timer.cancel());
         }
-        ticket.subscribe(() => {
+        append.subscribe(() => {
             const { clock, metrics } = this.scope.context;
-            metrics.time("home.commitTime", clock.now() - begin);
+            metrics.time("home.commitTime", clock.now() - queuedAt);
         });
         void this.flushQueue();
-        return ticket.result;
+        return append.result;
     }
 
-    /** Writes what waits and takes nothing more. */
+    /** Writes what is queued; new appends are refused. */
     async drain(): Promise<void> {
         this.sealed = true;
         while ((this.queue.length > 0 || this.writing) && !this.fenced && !this.scope.isStopped()) {
@@ -141,20 +147,20 @@
         this.rejectQueue();
     }
 
-    /** Gives up what waits; for a slice that is lost. */
+    /** Rejects what is queued, for a slice that is lost; new appends are refused. */
     close(): void {
         this.sealed = true;
         this.rejectQueue();
     }
 
-    private expireTicket(ticket: Ticket): void {
-        if (ticket.isWriting) {
-            ticket.settleUncertain();
+    private expireAppend(append: PendingAppend): void {
+        if (append.isWriting) {
+            append.settleUncertain();
             return;
         }
-        this.queue = this.queue.filter(other => other !== ticket);
-        this.queuedBytes -= ticket.bytes;
-        ticket.settle({ kind: "notWritten", reason: "unavailable" });
+        this.queue = this.queue.filter(other => other !== append);
+        this.queuedBytes -= append.bytes;
+        append.settle({ kind: "notWritten", reason: "unavailable" });
     }
 
     private async flushQueue(): Promise<void> {
@@ -164,7 +170,7 @@
         this.writing = true;
         while (this.queue.length > 0 && !this.fenced && !this.scope.isStopped()) {
             await this.pacer.takeTurn();
-            await this.waitForRing();
+            await this.waitForFreeSlot();
             const batch = this.takeBatch();
             if (batch.length > 0) {
                 await this.writeBatch(batch);
@@ -176,42 +182,42 @@
         }
     }
 
-    /** Truncation: the record that is overwritten next must be covered by a snapshot. */
-    private async waitForRing(): Promise<void> {
+    /** Truncates the log: waits until a snapshot covers the record that the next write overwrites. */
+    private async waitForFreeSlot(): Promise<void> {
         while (
-            this.sequence + 1 - this.slots > this.opened.snapshots.getCovers() && !this.fenced &&
+            this.sequence + 1 - this.slots > this.opened.snapshots.getCoveredSequence() && !this.fenced &&
             !this.scope.isStopped()
         ) {
             this.startSnapshotIfDue();
-            await this.snapshotting;
+            await this.pendingSnapshot;
         }
     }
 
-    private takeBatch(): Ticket[] {
+    private takeBatch(): PendingAppend[] {
         if (this.fenced || this.scope.isStopped()) {
             return [];
         }
         let bytes = 0;
         let count = 0;
-        for (const ticket of this.queue) {
-            if (bytes + ticket.bytes > MAX_RECORD_BYTES) {
+        for (const append of this.queue) {
+            if (bytes + append.bytes > MAX_RECORD_BYTES) {
                 break;
             }
-            bytes += ticket.bytes;
+            bytes += append.bytes;
             count++;
         }
         const batch = this.queue.splice(0, count);
         this.queuedBytes -= bytes;
-        for (const ticket of batch) {
-            ticket.isWriting = true;
+        for (const append of batch) {
+            append.isWriting = true;
         }
         return batch;
     }
 
-    private async writeBatch(batch: readonly Ticket[]): Promise<void> {
+    private async writeBatch(batch: readonly PendingAppend[]): Promise<void> {
         const sequence = this.sequence + 1;
         const at = this.getLogTime();
-        const entries = batch.flatMap(ticket => ticket.entries);
+        const entries = batch.flatMap(append => append.entries);
         const key = makeSlotKey(this.writer.slice, sequence, this.slots);
         const value = encodeRecord({ ...this.writer, kind: "log", sequence, at, entries });
         const expectedRevision = this.slotRevisions.get(key) ?? 0;
@@ -222,7 +228,7 @@
                 this.records++;
                 this.scope.context.metrics.count("home.records");
                 this.scope.context.metrics.count("home.entries", entries.length);
-                this.awayUntil = -Infinity;
+                this.unavailableUntil = -Infinity;
                 this.slotRevisions.set(key, result.revision);
                 this.uncoveredBytes += value.length;
                 this.commitBatch(batch, at);
@@ -235,67 +241,70 @@
                 settleAll(batch, { kind: "notWritten", reason: "tooLarge" });
                 break;
             case "lost":
-                this.handleLoss(batch, sequence, result.mayHaveStood, result.current);
+                this.handleConflict(batch, sequence, result.mayHaveApplied, result.current);
                 break;
             case "stopped":
-                settleAll(batch, makeLossResult(result.mayHaveStood));
+                settleAll(batch, makeClosedResult(result.mayHaveApplied));
                 break;
         }
     }
 
-    private commitBatch(batch: readonly Ticket[], at: Millis): void {
-        for (const ticket of batch) {
-            for (const entry of ticket.entries) {
+    private commitBatch(batch: readonly PendingAppend[], at: Millis): void {
+        for (const append of batch) {
+            for (const entry of append.entries) {
                 this.state.apply(entry, at);
             }
-            ticket.settle({ kind: "durable" });
+            append.settle({ kind: "durable" });
         }
     }
 
-    /** The store is away: whoever has a deadline is told at once, the rest waits for it. */
-    private async returnBatch(batch: readonly Ticket[]): Promise<void> {
-        const patient: Ticket[] = [];
-        for (const ticket of batch) {
-            ticket.isWriting = false;
-            if (ticket.isHasty || this.sealed && this.scope.isStopped()) {
-                ticket.settle({ kind: "notWritten", reason: "unavailable" });
+    /**
+     * Handles an unavailable store: appends with a deadline are refused at once, the others are queued again.
+     */
+    private async returnBatch(batch: readonly PendingAppend[]): Promise<void> {
+        const withoutDeadline: PendingAppend[] = [];
+        for (const append of batch) {
+            append.isWriting = false;
+            if (append.hasDeadline || this.sealed && this.scope.isStopped()) {
+                append.settle({ kind: "notWritten", reason: "unavailable" });
             }
             else {
-                patient.push(ticket);
-                this.queuedBytes += ticket.bytes;
+                withoutDeadline.push(append);
+                this.queuedBytes += append.bytes;
             }
         }
-        this.queue = [...patient, ...this.queue];
-        this.awayUntil = this.scope.context.clock.now() + PAUSE_WHEN_AWAY_MS;
-        this.rejectHasty();
-        await sleep(this.scope.context.clock, PAUSE_WHEN_AWAY_MS);
+        this.queue = [...withoutDeadline, ...this.queue];
+        this.unavailableUntil = this.scope.context.clock.now() + STORE_RETRY_DELAY_MS;
+        this.rejectDeadlineAppends();
+        await sleep(this.scope.context.clock, STORE_RETRY_DELAY_MS);
     }
 
-    private rejectHasty(): void {
-        const hasty = this.queue.filter(ticket => ticket.isHasty);
-        this.queue = this.queue.filter(ticket => !ticket.isHasty);
-        for (const ticket of hasty) {
-            this.queuedBytes -= ticket.bytes;
-            ticket.settle({ kind: "notWritten", reason: "unavailable" });
+    private rejectDeadlineAppends(): void {
+        const withDeadline = this.queue.filter(append => append.hasDeadline);
+        this.queue = this.queue.filter(append => !append.hasDeadline);
+        for (const append of withDeadline) {
+            this.queuedBytes -= append.bytes;
+            append.settle({ kind: "notWritten", reason: "unavailable" });
         }
     }
 
     /**
-     * Another owner's record stands where ours should: this owner is fenced.
+     * Handles a record of another owner in the place of the one written: this owner is fenced.
      *
-     * @remarks Only a record with the same sequence proves that ours never stood: each sequence is written once.
+     * @remarks Only a record with the same sequence proves that this owner's was never stored, since each
+     * sequence is written once.
      */
-    private handleLoss(
-        batch: readonly Ticket[],
+    private handleConflict(
+        batch: readonly PendingAppend[],
         sequence: number,
-        mayHaveStood: boolean,
+        mayHaveApplied: boolean,
         current: StoreRecord | undefined,
     ): void {
         const decoded = current === undefined ?
             undefined :
             decodeRecord(current.key, current.value, "log", this.writer.slice);
-        const isProved = decoded?.kind === "done" && decoded.value.sequence === sequence;
-        settleAll(batch, makeLossResult(mayHaveStood && !isProved));
+        const isProvenUnwritten = decoded?.kind === "done" && decoded.value.sequence === sequence;
+        settleAll(batch, makeClosedResult(mayHaveApplied && !isProvenUnwritten));
         this.handleFenced();
     }
 
@@ -315,11 +324,12 @@
     }
 
     private startSnapshotIfDue(): void {
-        const uncovered = this.sequence - this.opened.snapshots.getCovers();
-        const isDue = uncovered >= this.slots * SNAPSHOT_SHARE || this.uncoveredBytes >= UNCOVERED_BYTES;
-        if (isDue && this.snapshotting === undefined && !this.fenced) {
-            this.snapshotting = this.writeSnapshot().finally(() => {
-                this.snapshotting = undefined;
+        const uncovered = this.sequence - this.opened.snapshots.getCoveredSequence();
+        const isDue = uncovered >= this.slots * SNAPSHOT_RING_SHARE ||
+            this.uncoveredBytes >= SNAPSHOT_AFTER_BYTES;
+        if (isDue && this.pendingSnapshot === undefined && !this.fenced) {
+            this.pendingSnapshot = this.writeSnapshot().finally(() => {
+                this.pendingSnapshot = undefined;
             });
         }
     }
@@ -328,7 +338,11 @@
         const covers = this.sequence;
         const items = listSnapshotItems(this.state);
         const bytes = this.uncoveredBytes;
-        const result = await this.opened.snapshots.writeSnapshot({ covers, at: this.state.logTime, items });
+        const result = await this.opened.snapshots.writeSnapshot({
+            coveredSequence: covers,
+            logTime: this.state.logTime,
+            items,
+        });
         if (result === "done") {
             this.scope.context.metrics.count("home.snapshots");
             this.uncoveredBytes -= bytes;
@@ -341,14 +355,14 @@
 
 const DRAIN_POLL_MS: Millis = 20;
 
-function makeLossResult(mayHaveStood: boolean): AppendResult {
-    return mayHaveStood ?
+function makeClosedResult(mayHaveApplied: boolean): AppendResult {
+    return mayHaveApplied ?
         { kind: "uncertain", settled: Promise.resolve({ kind: "uncertain" }) } :
         { kind: "notWritten", reason: "closed" };
 }
 
-function settleAll(batch: readonly Ticket[], result: AppendResult): void {
-    for (const ticket of batch) {
-        ticket.settle(result);
+function settleAll(batch: readonly PendingAppend[], result: AppendResult): void {
+    for (const append of batch) {
+        append.settle(result);
     }
 }
--- a/src/process/home/log/snapshot-writer.ts
+++ b/src/process/home/log/snapshot-writer.ts
@@ -8,28 +8,31 @@
 import type { WriteScope } from "./settle-write.js";
 import { settleWrite } from "./settle-write.js";
 
-/** Most bytes of items in one part: with escaping and envelope it stays under the store's limit of 1 MB. */
+/**
+ * Maximum bytes of items in one part; with escaping and envelope it stays below the store's limit of 1 MB.
+ */
 export const MAX_PART_BYTES = 400_000;
-const PAUSE_WHEN_AWAY_MS: Millis = 1_000;
+const STORE_RETRY_DELAY_MS: Millis = 1_000;
 
-/** A state to be written. */
+/** A state to write as a snapshot. */
 export interface SnapshotImage {
-    readonly covers: number;
-    readonly at: Millis;
+    /** Sequence of the last record that the state includes. */
+    readonly coveredSequence: number;
+    readonly logTime: Millis;
     readonly items: readonly string[];
 }
 
-/** Result of a snapshot. `fenced`: another owner has taken the slice. */
+/** Result of a snapshot. `fenced`: another owner has taken over the slice. */
 export type SnapshotResult = "done" | "fenced" | "stopped";
 
-/** Keeps the head and the revisions of the parts of one slice. */
+/** Writes the snapshots of one slice and tracks the revisions of its head and parts. */
 export class SnapshotWriter {
     private readonly revisions: Map<string, number>;
 
     /**
      * @param head - The head as this owner wrote it.
      * @param headRevision - Its revision.
-     * @param revisions - Revisions of all keys of the slice when it was read back.
+     * @param revisions - Revisions of all keys of the slice when it was recovered.
      */
     constructor(
         private readonly scope: WriteScope,
@@ -41,13 +44,13 @@
     }
 
     /** Sequence of the last record that a snapshot covers. */
-    getCovers(): number {
+    getCoveredSequence(): number {
         return this.head.covers;
     }
 
     /**
-     * Writes a snapshot and then the head that names it. Until the head is written the one before counts, so
-     * a death in between loses nothing.
+     * Writes a snapshot and then the head that names it. Until the head is written the previous snapshot is
+     * current, so a crash in between loses nothing.
      */
     async writeSnapshot(image: SnapshotImage): Promise<SnapshotResult> {
         const set = getOtherSet(this.head.set);
@@ -59,7 +62,7 @@
                 slice,
                 epoch,
                 writer,
-                covers: image.covers,
+                covers: image.coveredSequence,
                 part,
                 items,
             });
@@ -69,15 +72,15 @@
             }
             parts.push(revision);
         }
-        return this.writeHead({ ...this.head, set, parts, covers: image.covers, at: image.at });
+        return this.writeHead({ ...this.head, set, parts, covers: image.coveredSequence, at: image.logTime });
     }
 
     /**
      * Writes one part.
      *
-     * @remarks Guards against a part of an older owner that arrived after this one read the slice back: it shows
-     * as a refused write. The head of this epoch does not name it, so it is written over; a part of a higher
-     * epoch means that this owner is fenced.
+     * @remarks A part written by a previous owner may reach the store after this owner recovered the slice;
+     * the write here is then refused. The head of this epoch does not name that part, so it is overwritten; a
+     * part of this epoch or a higher one means that this owner is fenced.
      */
     private async writePart(key: string, value: string): Promise<number | "fenced" | "stopped"> {
         for (;;) {
@@ -88,7 +91,7 @@
                     this.revisions.set(key, result.revision);
                     return result.revision;
                 case "unavailable":
-                    await sleep(this.scope.context.clock, PAUSE_WHEN_AWAY_MS);
+                    await sleep(this.scope.context.clock, STORE_RETRY_DELAY_MS);
                     break;
                 case "lost": {
                     const current = result.current;
@@ -123,7 +126,7 @@
                     this.headRevision = result.revision;
                     return "done";
                 case "unavailable":
-                    await sleep(this.scope.context.clock, PAUSE_WHEN_AWAY_MS);
+                    await sleep(this.scope.context.clock, STORE_RETRY_DELAY_MS);
                     break;
                 case "stopped":
                     return "stopped";
@@ -135,7 +138,9 @@
     }
 }
 
-/** Splits items into parts under the limit; an item is never cut, and the log takes none over the limit. */
+/**
+ * Splits items into parts below the limit. An item is never cut: the log accepts no entry above the limit.
+ */
 function splitItems(items: readonly string[]): string[][] {
     const parts: string[][] = [];
     let bytes = MAX_PART_BYTES;
--- a/src/process/home/options.ts
+++ b/src/process/home/options.ts
@@ -1,35 +1,35 @@
-/** Limits of the home role. Operators do not set them: they follow from the sizes in docs/CAPACITY.md. */
+/** Limits of the home role. They are not settings: they follow from the sizes in docs/CAPACITY.md. */
 import type { Millis } from "../../common/clock.js";
 
 /** Limits of the home role. */
 export interface HomeOptions {
-    /** Keys of the ring of a slice that nobody has opened yet. */
+    /** Number of keys in the ring of a slice that is opened for the first time. */
     readonly slots: number;
-    /** Orders that one slice has waiting at one placer at most; urgent ones may fill it twice. */
+    /** Maximum number of orders of one slice waiting at one placer; twice as many for urgent ones. */
     readonly placerWindow: number;
-    /** Time between two rounds of offers. */
+    /** Interval between rounds of offers. */
     readonly tickMs: Millis;
-    /** Offers of one round at most. */
+    /** Maximum number of offers in one round. */
     readonly offersPerTick: number;
-    /** Withdrawals of one round at most, so that a wave of cancellations cannot hold up offers. */
+    /** Maximum number of withdrawals in one round, so that many cancellations at once cannot delay offers. */
     readonly withdrawalsPerTick: number;
-    /** Time after which an order that was not confirmed is sent again. */
+    /** Time after which an unconfirmed order is sent again. */
     readonly resendMs: Millis;
-    /** Jobs of one slice without an end at most. */
+    /** Maximum number of jobs of one slice that have not ended. */
     readonly maxOpenJobs: number;
-    /** Requests of one slice under way at most. */
+    /** Maximum number of pending requests of one slice. */
     readonly maxOpenRequests: number;
-    /** Callers that wait for an end at most. */
+    /** Maximum number of callers that wait for an end. */
     readonly maxWaiters: number;
-    /** Time for a caller's write before the caller is told that the store is away. */
-    readonly writePatienceMs: Millis;
-    /** Time that a hold for a gang lasts at a placer. */
+    /** Timeout of a caller's write, after which the caller learns that the store is unavailable. */
+    readonly writeTimeoutMs: Millis;
+    /** Time for which a placer holds capacity for a gang. */
     readonly gangHoldMs: Millis;
-    /** Time for one call to a placer. */
+    /** Timeout of one call to a placer. */
     readonly callTimeoutMs: Millis;
 }
 
-/** Limits that hold unless a test or bench changes them. */
+/** Limits in force unless a test or bench overrides them. */
 export const DEFAULT_HOME_OPTIONS: HomeOptions = {
     slots: 256,
     placerWindow: 32,
@@ -40,7 +40,7 @@
     maxOpenJobs: 5_000,
     maxOpenRequests: 2_000,
     maxWaiters: 2_000,
-    writePatienceMs: 3_000,
+    writeTimeoutMs: 3_000,
     gangHoldMs: 5_000,
     callTimeoutMs: 1_000,
 };
--- a/src/process/home/run/explain.ts
+++ b/src/process/home/run/explain.ts
@@ -32,7 +32,7 @@
     if (!engine.core.mayOrder()) {
         lines.push("This entry may not act now: it cannot rule out that another has taken over.");
     }
-    if (engine.core.log.isAway()) {
+    if (engine.core.log.isStoreUnavailable()) {
         lines.push("The store cannot be reached: ends and start markers wait to be written.");
     }
     if (run.reason !== "" && record.countOpen() > run.running) {
--- a/src/process/home/run/job-desk.ts
+++ b/src/process/home/run/job-desk.ts
@@ -79,7 +79,7 @@
         run.isCancelling = true;
         const result = await this.engine.core.log.commit(
             [this.buildCancellation(run)],
-            this.engine.core.options.writePatienceMs,
+            this.engine.core.options.writeTimeoutMs,
         );
         switch (result.kind) {
             case "durable":
@@ -106,7 +106,7 @@
         const { jobId, caller, spec } = request;
         const { clock } = this.engine.core.context;
         const entry: HomeEntry = { kind: "jobAccepted", jobId, caller, spec, wallMs: clock.wallNow() };
-        const result = await this.engine.core.log.commit([entry], this.engine.core.options.writePatienceMs);
+        const result = await this.engine.core.log.commit([entry], this.engine.core.options.writeTimeoutMs);
         switch (result.kind) {
             case "durable": {
                 this.pending.delete(jobId);
--- a/src/process/home/run/request-desk.ts
+++ b/src/process/home/run/request-desk.ts
@@ -176,7 +176,7 @@
             settleMs,
             branch,
         };
-        const patienceMs = Math.min(this.core.options.writePatienceMs, this.request.deadlineMs);
+        const patienceMs = Math.min(this.core.options.writeTimeoutMs, this.request.deadlineMs);
         const result = await this.core.log.commit([entry], patienceMs);
         switch (result.kind) {
             case "durable":
--- a/src/process/home/run/updates.ts
+++ b/src/process/home/run/updates.ts
@@ -149,7 +149,7 @@
 
 /** Handles an update about the current attempt of a task. */
 export function applyUpdate(engine: TaskEngine, live: LiveAttempt, update: TaskUpdate, from: string): void {
-    if (isFinalState(update) && !engine.core.log.hasRoom()) {
+    if (isFinalState(update) && !engine.core.log.hasCapacity()) {
         // The store is away for long: the placer repeats the end, so it need not be kept here meanwhile.
         return;
     }
--- a/src/process/home/state/entries.ts
+++ b/src/process/home/state/entries.ts
@@ -1,9 +1,9 @@
-/** Entries of a home slice's log: everything that must outlast the owner, and nothing else. */
+/** Entries of a home slice's log: everything that must survive the owner, and nothing else. */
 import type { Millis } from "../../../common/clock.js";
 import type { Outcome } from "../../../common/outcome.js";
 import type { Caller, JobSpec } from "../../../request/work.js";
 
-/** An outcome as it is written: the answer's bytes as base64. */
+/** An outcome as stored, with the answer in base64. */
 export type StoredOutcome =
     | Exclude<Outcome, { readonly kind: "done"; }>
     | {
@@ -21,12 +21,12 @@
     readonly attempts: number;
 }
 
-/** First and last index of a run of tasks, both included. */
+/** First and last index of a range of tasks, both inclusive. */
 export type IndexRange = readonly [first: number, last: number];
 
 /** One entry of the log. */
 export type HomeEntry =
-    /** A new owner took over; from here on the owner before is fenced. */
+    /** A new owner took over; from here on the previous owner is fenced. */
     | { readonly kind: "opened"; readonly memberId: string; readonly epoch: number; }
     | {
         readonly kind: "jobAccepted";
@@ -35,16 +35,16 @@
         readonly spec: JobSpec;
         readonly wallMs: number;
     }
-    /** Start markers: these tasks may be running from here on. Written for tasks that are not repeatable. */
+    /** Start markers: from here on these tasks may be running. Written for tasks that are not repeatable. */
     | {
         readonly kind: "tasksStarting";
         readonly jobId: string;
         readonly ranges: readonly IndexRange[];
-        /** The one attempt that it is for; left out where it is for several, as of a gang. */
+        /** The attempt that the marker is for; omitted if it is for several, as for a gang. */
         readonly attempt?: string;
     }
     | { readonly kind: "tasksEnded"; readonly jobId: string; readonly ends: readonly TaskEnd[]; }
-    /** An attempt surely ended without an end of the task, which goes back to waiting. */
+    /** An attempt certainly ended without ending the task, which waits again. */
     | {
         readonly kind: "taskRequeued";
         readonly jobId: string;
@@ -53,8 +53,9 @@
         readonly checkpoint?: string;
     }
     /**
-     * The caller cancelled. `never`: tasks without an attempt that surely never started; `maybe`: tasks without
-     * an attempt now, of which that cannot be proved. The others end when their attempts do.
+     * The caller cancelled the job. `never`: tasks without an attempt that certainly never started; `maybe`:
+     * tasks without a current attempt for which that cannot be proved. The others end when their attempts
+     * end.
      */
     | {
         readonly kind: "jobCancelled";
@@ -68,14 +69,14 @@
         readonly requestKey: string;
         readonly fingerprint: string;
         readonly repeatable: boolean;
-        /** Time after which no try of it can still be under way, counted from this entry. */
+        /** Time from this log entry after which no attempt can still be in flight. */
         readonly settleMs: Millis;
         readonly branch: string;
     }
     | { readonly kind: "requestEnded"; readonly requestKey: string; readonly outcome: StoredOutcome; }
-    /** The request surely did not run: its key is free again. */
+    /** The request certainly did not run: its key is free again. */
     | { readonly kind: "requestDropped"; readonly requestKey: string; }
-    /** Ended work past its retention is forgotten. */
+    /** Ended work whose retention is over is removed. */
     | {
         readonly kind: "expired";
         readonly jobIds: readonly string[];
@@ -83,8 +84,7 @@
     };
 
 /**
- * Converts an outcome for the log.
- * @param outcome - The outcome as the rest of the system knows it.
+ * Converts an outcome to the form that the log stores.
  */
 export function encodeOutcome(outcome: Outcome): StoredOutcome {
     if (outcome.kind !== "done") {
@@ -94,8 +94,7 @@
 }
 
 /**
- * Converts an outcome back.
- * @param stored - The outcome as written.
+ * Converts a stored outcome back.
  */
 export function decodeOutcome(stored: StoredOutcome): Outcome {
     if (stored.kind !== "done") {
@@ -106,7 +105,7 @@
 
 /**
  * Packs task indexes into ranges.
- * @param indexes - Indexes in rising order.
+ * @param indexes - Indexes in ascending order.
  */
 export function packRanges(indexes: Iterable<number>): IndexRange[] {
     const ranges: [number, number][] = [];
--- a/src/process/home/state/home-state.ts
+++ b/src/process/home/state/home-state.ts
@@ -1,9 +1,9 @@
 /**
  * State of a home slice as a function of its log: the same entries in the same order give the same state.
  *
- * @remarks Times are *log time*: milliseconds that owners of the slice have counted on their monotonic clocks,
- * added up over owners. Time between two owners is not counted, so work is remembered longer than asked,
- * never shorter, and no wall clock decides anything.
+ * @remarks Times are *log time*: milliseconds that each owner of the slice counts on its monotonic clock,
+ * summed over all owners. The time between two owners is not counted, so ended work is retained longer than
+ * configured and never shorter, and nothing depends on a wall clock.
  */
 import type { Millis } from "../../../common/clock.js";
 import type { HomeEntry, StoredOutcome } from "./entries.js";
@@ -21,7 +21,7 @@
     endedAt?: Millis;
 }
 
-/** Everything a home slice remembers. */
+/** Jobs and requests of a home slice. */
 export class HomeState {
     readonly jobs = new Map<string, JobRecord>();
     readonly requests = new Map<string, RequestRecord>();
@@ -30,8 +30,7 @@
 
     /**
      * Applies one durable entry.
-     * @param entry - The entry.
-     * @param at - Log time at which it was written.
+     * @param at - Log time at which the entry was written.
      */
     apply(entry: HomeEntry, at: Millis): void {
         this.logTime = Math.max(this.logTime, at);
--- a/src/process/home/state/job-record.ts
+++ b/src/process/home/state/job-record.ts
@@ -1,13 +1,15 @@
-/** A job as its home remembers it: one byte for each task, and details only where they can be shown. */
+/**
+ * A job in the state of its home slice: one byte for each task, and details only of tasks that can be shown.
+ */
 import type { Millis } from "../../../common/clock.js";
 import type { Caller, JobSpec } from "../../../request/work.js";
 import { MAX_TASKS_SHOWN } from "../../../request/work.js";
 import type { StoredOutcome, TaskEnd } from "./entries.js";
 
-/** State of one task in a byte. */
+/** State of one task, stored as a byte. */
 export const TaskCode = {
     waiting: 0,
-    /** A start marker is durable. */
+    /** A start marker is durable: the task may be running. */
     marked: 1,
     done: 2,
     failed: 3,
@@ -20,14 +22,14 @@
 
 const TASK_CODES = 8;
 
-/** What is kept of an ended task besides its code. */
+/** Data of an ended task besides its code. */
 export interface TaskDetail {
     readonly outcome: StoredOutcome;
     readonly workerId?: string;
     readonly attempts: number;
 }
 
-/** What is kept of a task that was tried before and waits again. */
+/** Data of a task that waits again after an earlier attempt. */
 export interface TaskRetry {
     readonly failures: number;
     readonly checkpoint?: string;
@@ -40,7 +42,7 @@
     readonly totals: number[] = new Array<number>(TASK_CODES).fill(0);
     readonly details = new Map<number, TaskDetail>();
     readonly retries = new Map<number, TaskRetry>();
-    /** Attempts that start markers are for. */
+    /** Attempts named by start markers, by task index. */
     readonly markers = new Map<number, string>();
     cancelled = false;
     /** Log time at which the last task ended. */
@@ -65,7 +67,7 @@
         return this.countOpen() === 0;
     }
 
-    /** Tasks without an end. */
+    /** Number of tasks that have not ended. */
     countOpen(): number {
         return this.getTotal(TaskCode.waiting) + this.getTotal(TaskCode.marked);
     }
@@ -74,18 +76,18 @@
         return this.totals[code] ?? 0;
     }
 
-    /** Whether a task is of this job and has no end yet. */
+    /** Whether the job has this task and it has not ended. */
     isTaskOpen(index: number): boolean {
         const code = this.codes[index];
         return code === TaskCode.waiting || code === TaskCode.marked;
     }
 
-    /** Changes a code of an open task; an end is never changed again. */
+    /** Changes the code of an open task; returns false for an ended one, whose code never changes. */
     setCode(index: number, code: TaskCode): boolean {
         if (!this.isTaskOpen(index)) {
             return false;
         }
-        const before = this.codes[index] ?? 0;
+        const previousCode = this.codes[index] ?? 0;
         this.codes[index] = code;
         if (code !== TaskCode.marked) {
             this.markers.delete(index);
@@ -93,12 +95,12 @@
         if (!this.isTaskOpen(index)) {
             this.retries.delete(index);
         }
-        this.totals[before] = (this.totals[before] ?? 0) - 1;
+        this.totals[previousCode] = (this.totals[previousCode] ?? 0) - 1;
         this.totals[code] = (this.totals[code] ?? 0) + 1;
         return true;
     }
 
-    /** Records a start marker and the attempt that it is for, if it is for one. */
+    /** Records a start marker, and its attempt unless it stands for several. */
     markTask(index: number, attempt: string | undefined): void {
         this.setCode(index, TaskCode.marked);
         if (attempt !== undefined && this.isTaskOpen(index)) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /** Records an end; the first end of a task counts. */
+    /** Records the end of a task; ends after the first are ignored. */
     endTask(end: TaskEnd): void {
         if (!this.setCode(end.index, convertToCode(end.outcome))) {
             return;
@@ -121,7 +123,6 @@
     }
 }
 
-/** Code of an outcome. */
 function convertToCode(outcome: StoredOutcome): TaskCode {
     if (outcome.kind === "cancelled") {
         return outcome.started ? TaskCode.cancelledAfter : TaskCode.cancelledBefore;
--- a/src/process/home/state/snapshot-items.ts
+++ b/src/process/home/state/snapshot-items.ts
@@ -1,4 +1,7 @@
-/** A home state as a list of small texts, so that a snapshot can be split under the store's value limit. */
+/**
+ * Converts a home state to small texts and back, so that a snapshot can be split below the store's value
+ * limit.
+ */
 import type { Millis } from "../../../common/clock.js";
 import type { Caller, JobSpec } from "../../../request/work.js";
 import type { StoredOutcome } from "./entries.js";
@@ -23,7 +26,7 @@
     | {
         readonly kind: "details";
         readonly jobId: string;
-        /** The different outcomes, without the worker where it is the task's own. */
+        /** The distinct outcomes, with an empty worker id where it equals the task's. */
         readonly outcomes: readonly StoredOutcome[];
         readonly tasks: readonly PackedDetail[];
     }
@@ -31,14 +34,14 @@
     | { readonly kind: "marker"; readonly jobId: string; readonly index: number; readonly attempt: string; }
     | { readonly kind: "request"; readonly request: RequestRecord; };
 
-/** A task's place in the list of outcomes, and the rest of its detail. */
+/** Detail of one task; `outcome` is an index into the item's outcomes. */
 type PackedDetail = readonly [index: number, outcome: number, workerId: string, attempts: number];
 
-/** Characters of outcomes in one item before the next is begun. */
+/** Characters of outcomes in one item beyond which the next item begins. */
 const ITEM_CHARACTERS = 100_000;
 
-/** Texts of ended jobs, which no entry changes any more. */
-const endedItems = new WeakMap<JobRecord, string[]>();
+/** Cached items of ended jobs, which no later entry changes. */
+const endedJobItems = new WeakMap<JobRecord, string[]>();
 
 /**
  * Lists the items of a state, as texts.
@@ -56,9 +59,8 @@
 }
 
 /**
- * Puts one item back into a state.
- * @param state - The state being restored.
- * @param text - An item as it is written; details follow their job.
+ * Restores one item into a state.
+ * @param text - An encoded item; the item of a job must precede its other items.
  */
 export function restoreSnapshotItem(state: HomeState, text: string): void {
     const item = JSON.parse(text) as SnapshotItem;
@@ -67,9 +69,9 @@
     if (job?.endedAt === undefined) {
         return;
     }
-    const texts = endedItems.get(job);
+    const texts = endedJobItems.get(job);
     if (texts === undefined) {
-        endedItems.set(job, [text]);
+        endedJobItems.set(job, [text]);
     }
     else {
         texts.push(text);
@@ -97,14 +99,14 @@
 }
 
 function listJobItems(job: JobRecord): readonly string[] {
-    const kept = endedItems.get(job);
-    if (kept !== undefined) {
-        return kept;
+    const cached = endedJobItems.get(job);
+    if (cached !== undefined) {
+        return cached;
     }
     const items: string[] = [];
     collectJobItems(job, item => items.push(JSON.stringify(item)));
     if (job.isEnded()) {
-        endedItems.set(job, items);
+        endedJobItems.set(job, items);
     }
     return items;
 }
@@ -122,10 +124,10 @@
     }
 }
 
-/** Tasks of a job mostly end alike: each different outcome is written once. */
+/** Writes each distinct outcome once, since most tasks of a job end alike. */
 function packDetails(job: JobRecord, add: (item: SnapshotItem) => void): void {
     const { jobId } = job;
-    let places = new Map<string, number>();
+    let outcomeIndexes = new Map<string, number>();
     let outcomes: StoredOutcome[] = [];
     let tasks: PackedDetail[] = [];
     let characters = 0;
@@ -133,17 +135,17 @@
         if (tasks.length > 0) {
             add({ kind: "details", jobId, outcomes, tasks });
         }
-        [places, outcomes, tasks, characters] = [new Map(), [], [], 0];
+        [outcomeIndexes, outcomes, tasks, characters] = [new Map(), [], [], 0];
     };
     for (const [index, { outcome, workerId = "", attempts }] of job.details) {
         const key = makeOutcomeKey(outcome, workerId);
-        let place = places.get(key);
-        if (place === undefined) {
-            place = outcomes.push(removeWorker(outcome, workerId)) - 1;
-            places.set(key, place);
+        let outcomeIndex = outcomeIndexes.get(key);
+        if (outcomeIndex === undefined) {
+            outcomeIndex = outcomes.push(removeWorker(outcome, workerId)) - 1;
+            outcomeIndexes.set(key, outcomeIndex);
             characters += key.length;
         }
-        tasks.push([index, place, workerId, attempts]);
+        tasks.push([index, outcomeIndex, workerId, attempts]);
         if (characters > ITEM_CHARACTERS) {
             finish();
         }
@@ -155,8 +157,8 @@
     job: JobRecord | undefined,
     item: Extract<SnapshotItem, { readonly kind: "details"; }>,
 ): void {
-    for (const [index, place, packedWorker, attempts] of item.tasks) {
-        const shared = item.outcomes[place];
+    for (const [index, outcomeIndex, packedWorker, attempts] of item.tasks) {
+        const shared = item.outcomes[outcomeIndex];
         if (shared !== undefined) {
             const workerId = packedWorker === "" ? undefined : packedWorker;
             job?.details.set(index, { outcome: addWorker(shared, packedWorker), workerId, attempts });
@@ -164,7 +166,7 @@
     }
 }
 
-/** Equal for outcomes that are equal but for the task's own worker. */
+/** Returns equal keys for outcomes that differ only in naming the task's own worker. */
 function makeOutcomeKey(outcome: StoredOutcome, workerId: string): string {
     return outcome.kind === "done" && outcome.workerId === workerId ?
         `done ${outcome.contentType} ${outcome.answer}` :
--- a/src/process/ownership/assignment.ts
+++ b/src/process/ownership/assignment.ts
@@ -1,22 +1,24 @@
 /**
- * Which member should own which slice: rendezvous hashing with a bound on the load of a member. Pure, and equal
- * on every entry that holds the same table.
+ * Which member should own which slice: rendezvous hashing with a bound on the load of a member. Every entry
+ * that holds the same table computes the same result.
  */
 import { hashText } from "../../common/hash.js";
 import { WORKER_SLICES } from "../../version/settings.js";
 import type { Member } from "../roles.js";
 
-/** Worker slices are cut into this many groups; each failure domain's racks lie in one group. */
+/** Number of groups of worker slices; the racks of one failure domain all lie in one group. */
 export const DOMAIN_GROUPS = 8;
 
 const SLICES_PER_GROUP = WORKER_SLICES / DOMAIN_GROUPS;
 
-/** A member may own this many times the even share, so that hashing has room to keep slices where they are. */
+/**
+ * Maximum load of a member in even shares; above 1, so that most slices keep their owner when members change.
+ */
 const LOAD_BOUND = 1.25;
 
 /**
  * Finds the worker slice of a rack.
- * @param domains - Failure domains of workers as the ownership table lists them.
+ * @param domains - Failure domains of workers in the order of the ownership table.
  * @param failureDomain - Domain of the rack.
  * @param rack - Name of the rack, unique within the domain.
  * @returns The slice, or undefined while the table does not list the domain.
@@ -36,8 +38,7 @@
 
 /**
  * Lists the failure domains whose racks can lie in a worker slice.
- * @param domains - Failure domains of workers as the ownership table lists them.
- * @param slice - The worker slice.
+ * @param domains - Failure domains of workers in the order of the ownership table.
  */
 export function listDomainsOfSlice(domains: readonly string[], slice: number): readonly string[] {
     const group = Math.floor(slice / SLICES_PER_GROUP);
@@ -46,12 +47,11 @@
 
 /**
  * Chooses an owner for every slice of a kind.
- * @param kind - Name of the kind, part of what is hashed.
+ * @param kind - Name of the kind, part of the hashed text.
  * @param count - Number of slices.
- * @param members - Members that can own slices.
- * @param listAvoided - Failure domains whose members should not own the slice: a domain that fails must not take
- * a worker together with its owner.
- * @returns Member id for each slice; undefined entries where there is no member.
+ * @param listAvoided - Returns the failure domains whose members should not own the slice, since the failure
+ * of a domain must not take down a worker together with its owner.
+ * @returns The member id for each slice; undefined if there are no members.
  */
 export function chooseOwners(
     kind: string,
@@ -66,9 +66,11 @@
         const avoided = listAvoided(slice);
         const ranked = rankMembers(kind, slice, members);
         const owner = ranked.find(member =>
-            !avoided.includes(member.failureDomain) && hasRoom(load, member, bound)
+            !avoided.includes(member.failureDomain) && isBelowBound(load, member, bound)
         ) ??
-            ranked.find(member => hasRoom(load, member, bound)) ??
+            ranked.find(member =>
+                isBelowBound(load, member, bound)
+            ) ??
             ranked[0];
         owners.push(owner?.memberId);
         if (owner !== undefined) {
@@ -78,7 +80,7 @@
     return owners;
 }
 
-function hasRoom(load: ReadonlyMap<string, number>, member: Member, bound: number): boolean {
+function isBelowBound(load: ReadonlyMap<string, number>, member: Member, bound: number): boolean {
     return (load.get(member.memberId) ?? 0) < bound;
 }
 
--- a/src/process/ownership/standing.ts
+++ b/src/process/ownership/authority.ts
@@ -1,38 +1,38 @@
 /**
- * Whether this entry may act on what the ownership table gave it. docs/design/ownership.md proves the rule.
+ * Whether this entry may act on the slices that the ownership table assigns to it. docs/design/ownership.md
+ * proves the rule.
  *
- * @remarks The failure it guards against: an entry that was paused or cut off goes on ordering workers after
- * others took its slices. It would show as a task running in two places, on a worker that only the old owner
- * can reach. The rule holds because a taker needs the store and the word of a majority, and an entry without a
- * valid lease stops as soon as it cannot hear a majority that knows of no taker.
+ * @remarks An entry that was paused or cut off must not go on ordering workers after others took over its
+ * slices: a task could run in two places, on a worker that only the old owner can reach. The rule holds
+ * because a takeover needs the store and the knowledge of a majority, and an entry without a valid lease
+ * stops as soon as it receives no digests from a majority that knows of no takeover.
  */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
 import type { HeardDigest } from "../roles.js";
 
-/** What the rule reads. */
-export interface StandingSource {
+/** Inputs of {@link Authority}. */
+export interface AuthoritySource {
     readonly clock: Clock;
     readonly memberId: string;
     getCell(): CellSettings;
-    /** Members of the table held, this entry included while it is one. */
+    /** Members of the current table, including this entry while it is one. */
     listMemberIds(): readonly string[];
     getTableRevision(): number;
     getDigest(memberId: string): HeardDigest | undefined;
-    /** Instant of the last answered call to the store, counted from its sending. */
+    /** Time at which the last answered call to the store was sent. */
     getLastStoreContact(): Millis | undefined;
 }
 
-/** The rule, with the entry's own lease as its only state. */
-export class Standing {
+/** Decides whether this entry may act; its only state is the entry's own lease. */
+export class Authority {
     private leaseValidUntil: Millis | undefined;
 
-    /** @param source - What the rule reads. */
-    constructor(private readonly source: StandingSource) {}
+    constructor(private readonly source: AuthoritySource) {}
 
     /**
      * Records that the store extended this entry's lease.
-     * @param sentAt - Instant at which the call was sent; the lease surely lasts its time to live from then.
+     * @param sentAt - Time at which the call was sent; the lease lasts at least its time to live from then.
      */
     renewLease(sentAt: Millis): void {
         const cell = this.source.getCell();
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns the instant until which the entry's own lease in the store is surely valid, by its own clock.
-     * Orders to workers that compare no epochs must not be taken after it.
+     * Returns the time, by this entry's clock, until which its lease in the store is certainly valid. Workers
+     * that compare no epochs must not accept orders after it.
      */
     getLeaseDeadline(): Millis {
         return this.leaseValidUntil ?? Number.NEGATIVE_INFINITY;
@@ -72,23 +72,23 @@
         if (!members.includes(this.source.memberId)) {
             return false;
         }
-        let heard = 1;
+        let agreeing = 1;
         for (const memberId of members) {
             const digest = memberId === this.source.memberId ? undefined : this.source.getDigest(memberId);
             if (digest === undefined || now - digest.sureAt > cell.freshMs) {
                 continue;
             }
-            if (this.hasNews(digest, leaseEnd)) {
+            if (this.hasNewerEvidence(digest, leaseEnd)) {
                 return false;
             }
-            heard++;
+            agreeing++;
         }
-        return heard > members.length / 2;
+        return agreeing > members.length / 2;
     }
 
-    /** Whether a peer knows of a newer table, or reached the store after this entry's lease had ended. */
-    private hasNews(heard: HeardDigest, leaseEnd: Millis): boolean {
-        const { digest, heardAt } = heard;
+    /** Whether a peer knows a newer table, or reached the store after this entry's lease had ended. */
+    private hasNewerEvidence(received: HeardDigest, leaseEnd: Millis): boolean {
+        const { digest, heardAt } = received;
         if (digest.tableRevision > this.source.getTableRevision()) {
             return true;
         }
@@ -97,11 +97,10 @@
 }
 
 /**
- * Tells whether a majority of the members that may still act has heard of a table.
- * @param base - Members of the table and members lost that may still be running.
- * @param memberId - This entry, which has.
- * @param revision - Revision of the table.
- * @param getDigest - Last digest of a member.
+ * Returns whether a majority of the members that may still act knows a table of this revision or a newer one.
+ * @param base - Members of the table, and lost members that may still be running.
+ * @param memberId - This entry, which knows the table.
+ * @param getDigest - Returns the last digest of a member.
  */
 export function isKnownByMajority(
     base: readonly string[],
--- a/src/process/ownership/member-keys.ts
+++ b/src/process/ownership/member-keys.ts
@@ -1,8 +1,8 @@
-/** The members' keys in the store, each on its member's lease: who is alive by the store's word. */
+/** The members' keys in the store: each exists as long as its member's lease. */
 import type { Millis } from "../../common/clock.js";
 import type { RoleContext } from "../roles.js";
 
-/** Keys of live members, as the watch of the cell tells them. */
+/** Tracks the keys of live members through the watch of the cell. */
 export class MemberKeys {
     private leases: Map<string, string> | undefined;
     private readonly missingSince = new Map<string, Millis>();
@@ -10,17 +10,17 @@
 
     constructor(private readonly context: Pick<RoleContext, "clock" | "store" | "log">) {}
 
-    /** Whether the keys were listed yet. */
+    /** Whether the keys have been listed. */
     isKnown(): boolean {
         return this.leases !== undefined;
     }
 
-    /** Forgets all keys: a listing follows. */
+    /** Removes all keys, before a new listing is applied. */
     clear(): void {
         this.leases = new Map();
     }
 
-    /** Takes a key's value; undefined when it was deleted or its lease lapsed. */
+    /** Applies the value of a key; undefined if it was deleted or its lease lapsed. */
     apply(memberId: string, value: string | undefined): void {
         this.leases ??= new Map();
         if (value === undefined) {
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Finds since when a member has no key, as far as this entry has asked.
-     * @returns The instant of the first call that found none; undefined while it has one.
+     * Finds since when a member has had no key.
+     * @returns The time of the first call that found none; undefined while it has one.
      */
     findMissingSince(memberId: string): Millis | undefined {
         if (this.leases?.has(memberId) === true) {
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Ends the lease of a member that a majority has not heard of lately: a dead entry's slices then move within
-     * seconds and not after its whole lease. Safe, since the lease's end is what removal waits for anyway, and an
-     * entry that is merely cut off learns of it by its next renewal.
+     * Revokes the lease of a member that a majority suspects, so that the slices of a dead entry move within
+     * seconds rather than after the whole lease. This is safe: removal waits for the end of the lease in any
+     * case, and an entry that is merely cut off learns of it by its next renewal.
      */
     revoke(memberId: string): void {
         const leaseId = this.leases?.get(memberId) ?? "";
--- a/src/process/ownership/member-lease.ts
+++ b/src/process/ownership/member-lease.ts
@@ -1,56 +1,59 @@
-/** This entry's lease in the store and the member key that lives on it. */
+/** This entry's lease in the store, and the member key that exists as long as the lease. */
 import type { Millis, Timer } from "../../common/clock.js";
 import type { RoleContext } from "../roles.js";
-import type { Standing } from "./standing.js";
+import type { Authority } from "./authority.js";
 
 /** Prefix of the member keys; the rest of the key is the member id. */
 export const MEMBER_PREFIX = "cell/members/";
 
-/** Renewals in each time to live: with five, four can be lost or late before the lease lapses. */
+/** Renewals per time to live: with five, four can be lost or late before the lease lapses. */
 const RENEWALS_PER_TTL = 5;
 
-/** Renewals under way at once: a store that answers in 5 s must not end a lease of 15 s. */
+/** Maximum number of renewals in flight: a store that answers after 5 s must not end a lease of 15 s. */
 const MAX_RENEWALS_IN_FLIGHT = 4;
 
-/** Waits after a lease that lapsed, doubling: an entry that the others cannot hear is removed again and again. */
-const FIRST_REJOIN_DELAY_MS: Millis = 1_000;
-const LAST_REJOIN_DELAY_MS: Millis = 60_000;
+/**
+ * Backoff after a lapsed lease, doubled each time: an entry that its peers cannot reach is removed
+ * repeatedly.
+ */
+const INITIAL_REJOIN_DELAY_MS: Millis = 1_000;
+const MAX_REJOIN_DELAY_MS: Millis = 60_000;
 
-/** What {@link MemberLease} is given. */
+/** Dependencies of {@link MemberLease}. */
 export interface MemberLeaseOptions {
     readonly context: Pick<RoleContext, "memberId" | "clock" | "log" | "store">;
-    readonly standing: Standing;
+    readonly authority: Authority;
     getTtl(): number;
     /** Reads the ownership table from the store; returns whether it answered. */
     refreshTable(): Promise<boolean>;
-    /** Value of the member key. */
-    readonly value: (leaseId: string) => string;
+    /** Returns the value of the member key. */
+    readonly makeKeyValue: (leaseId: string) => string;
 }
 
-/** Keeps a lease granted, renewed and bound to the member key until closed. */
+/** Obtains a lease, renews it and binds the member key to it, until closed. */
 export class MemberLease {
     private leaseId: string | undefined;
     private inFlight = 0;
     private granting = false;
     private closed = false;
-    private rejoinDelay = FIRST_REJOIN_DELAY_MS;
+    private rejoinDelay = INITIAL_REJOIN_DELAY_MS;
     private grantNotBefore = Number.NEGATIVE_INFINITY;
     private heldSince: Millis = 0;
     private timer: Timer | undefined;
 
     constructor(private readonly options: MemberLeaseOptions) {}
 
-    /** Starts keeping the lease. */
+    /** Requests the lease and starts to renew it. */
     start(): void {
         this.step();
     }
 
-    /** Whether the member key stands on a lease that the store granted. */
+    /** Whether the member key is bound to a lease that the store granted. */
     isHeld(): boolean {
         return this.leaseId !== undefined;
     }
 
-    /** Stops and ends the lease, so that the others need not wait for it to lapse. */
+    /** Stops and revokes the lease, so that the other members need not wait until it lapses. */
     async close(): Promise<void> {
         this.closed = true;
         this.timer?.cancel();
@@ -87,18 +90,18 @@
         if (granted.kind === "done" && !this.closed) {
             const written = await store.write({
                 key: `${MEMBER_PREFIX}${memberId}`,
-                value: this.options.value(granted.value),
+                value: this.options.makeKeyValue(granted.value),
                 expectedRevision: 0,
                 leaseId: granted.value,
                 patienceMs: ttl,
                 vital: true,
             });
-            // The table is read after the grant: an entry whose old lease lapsed may have lost its slices, and a
-            // new lease must not let it act on the table from before.
+            // The table is read after the grant: an entry whose old lease lapsed may have lost its slices,
+            // and a new lease must not let it act on an outdated table.
             if (written.kind === "done" && await this.options.refreshTable()) {
                 this.leaseId = granted.value;
                 this.heldSince = clock.now();
-                this.options.standing.renewLease(sentAt);
+                this.options.authority.renewLease(sentAt);
                 log.info("member lease granted", { leaseId: granted.value });
             }
         }
@@ -115,12 +118,12 @@
             return;
         }
         if (result === "done") {
-            this.options.standing.renewLease(sentAt);
+            this.options.authority.renewLease(sentAt);
         }
         else if (result === "lapsed") {
-            // The store has deleted the member key: others may already have taken the slices.
+            // The store has deleted the member key: others may already have taken over the slices.
             this.leaseId = undefined;
-            this.options.standing.dropLease();
+            this.options.authority.dropLease();
             this.holdBackRejoin();
             log.warn("CR1001", "member lease lapsed", { leaseId });
         }
@@ -128,11 +131,12 @@
 
     private holdBackRejoin(): void {
         const now = this.options.context.clock.now();
-        const wasSteady = now - this.heldSince > LAST_REJOIN_DELAY_MS;
-        // The first lapse after a steady time is most often an outage of the store: the next lease is asked for at once.
+        const wasSteady = now - this.heldSince > MAX_REJOIN_DELAY_MS;
+        // The first lapse after a steady time usually means a store outage: the next lease is requested at
+        // once.
         this.grantNotBefore = wasSteady ? now : now + this.rejoinDelay;
         this.rejoinDelay = wasSteady ?
-            FIRST_REJOIN_DELAY_MS :
-            Math.min(LAST_REJOIN_DELAY_MS, this.rejoinDelay * 2);
+            INITIAL_REJOIN_DELAY_MS :
+            Math.min(MAX_REJOIN_DELAY_MS, this.rejoinDelay * 2);
     }
 }
--- a/src/process/ownership/ownership-role.ts
+++ b/src/process/ownership/ownership-role.ts
@@ -1,12 +1,14 @@
 /**
- * The task that follows the ownership table, keeps this entry a member, and makes the changes of the table that
- * fall to this entry.
+ * Follows the ownership table, keeps this entry a member, and makes the changes of the table that this entry
+ * is responsible for.
  */
 import type { Millis, Timer } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
 import type { StoreListing } from "../ports/store-port.js";
 import type { CallResult, HeardDigest, Member, OwnershipView, RoleContext, SliceOwner } from "../roles.js";
-import { HandOvers } from "./hand-overs.js";
+import { Authority, isKnownByMajority } from "./authority.js";
+import { FailureDetector } from "./failure-detector.js";
+import { HandoverCoordinator } from "./handover-coordinator.js";
 import { LostMembers } from "./lost-members.js";
 import { MemberKeys } from "./member-keys.js";
 import { MEMBER_PREFIX, MemberLease } from "./member-lease.js";
@@ -18,9 +20,7 @@
     removeLostMembers,
     SliceKind,
     type SliceName,
-} from "./plan.js";
-import { isKnownByMajority, Standing } from "./standing.js";
-import { Suspicion } from "./suspicion.js";
+} from "./table-changes.js";
 import {
     buildEmptyTable,
     encodeTable,
@@ -31,34 +31,36 @@
 } from "./table.js";
 
 const TICK_MS: Millis = 250;
-/** Patience of a table write; the next tick tries anew from the table as it then is. */
-const WRITE_PATIENCE_MS: Millis = 5_000;
+/**
+ * Timeout of a read or write of the table; after a failure the next tick starts from the table as it then is.
+ */
+const STORE_TIMEOUT_MS: Millis = 5_000;
 
-/** What the ownership role is given. */
+/** Dependencies of {@link OwnershipRole}. */
 export interface OwnershipOptions {
     readonly context: Omit<RoleContext, "ownership">;
     readonly self: Member;
     getCell(): CellSettings;
     /** Failure domains of workers in the VM list. */
     listWorkerDomains(): readonly string[];
-    /** Whether a slice is a worker slice in which workers are. */
+    /** Whether a slice is a worker slice that has workers. */
     hasWorkers(name: SliceName): boolean;
     /** Stops acting on a slice and flushes; resolves with whether the slice had been ready. */
     releaseSlice(name: SliceName): Promise<boolean>;
 }
 
-/** Follows and changes the table; the other roles read it through {@link OwnershipView}. */
+/** Follows and changes the table, which the other roles read through {@link OwnershipView}. */
 export class OwnershipRole implements OwnershipView {
-    readonly standing: Standing;
-    readonly suspicion: Suspicion;
+    readonly authority: Authority;
+    readonly failureDetector: FailureDetector;
     private table: OwnershipTable | undefined;
     private revision = 0;
     private readonly listeners: (() => void)[] = [];
     private readonly lease: MemberLease;
     private readonly memberKeys: MemberKeys;
     private readonly lostMembers: LostMembers;
-    private busy = false;
-    private readonly handOvers: HandOvers;
+    private isChangingTable = false;
+    private readonly handovers: HandoverCoordinator;
     private timer: Timer | undefined;
     private closed = false;
 
@@ -66,10 +68,10 @@
         const { context } = options;
         this.lostMembers = new LostMembers(context.clock);
         this.memberKeys = new MemberKeys(context);
-        this.handOvers = new HandOvers({
+        this.handovers = new HandoverCoordinator({
             context,
             getTable: () => this.table,
-            isReachable: memberId => this.suspicion.isReachable(memberId),
+            isReachable: memberId => this.failureDetector.isReachable(memberId),
             hasWorkers: name => options.hasWorkers(name),
             releaseSlice: name => options.releaseSlice(name),
             write: change => this.write(change),
@@ -80,8 +82,11 @@
             listMemberIds: () => this.listMemberIds(),
             getDigest: (memberId: string) => context.peers.getDigest(memberId),
         };
-        this.suspicion = new Suspicion({ ...source, getDigestMs: () => options.getCell().digestMs });
-        this.standing = new Standing({
+        this.failureDetector = new FailureDetector({
+            ...source,
+            getDigestMs: () => options.getCell().digestMs,
+        });
+        this.authority = new Authority({
             ...source,
             getCell: () => options.getCell(),
             getTableRevision: () => this.revision,
@@ -89,14 +94,14 @@
         });
         this.lease = new MemberLease({
             context,
-            standing: this.standing,
+            authority: this.authority,
             getTtl: () => options.getCell().memberTtlMs,
             refreshTable: () => this.refreshTable(),
-            value: leaseId => JSON.stringify({ leaseId, ...options.self }),
+            makeKeyValue: leaseId => JSON.stringify({ leaseId, ...options.self }),
         });
     }
 
-    /** Starts to follow the table and to be a member. */
+    /** Starts to follow the table and joins the cell. */
     start(): void {
         this.lease.start();
         this.schedule();
@@ -106,7 +111,7 @@
         return this.revision;
     }
 
-    /** The table held, as text, for peers that cannot reach the store. */
+    /** The current table as text, for peers that cannot reach the store. */
     getTableText(): string | undefined {
         return this.table === undefined ? undefined : encodeTable(this.table);
     }
@@ -128,11 +133,11 @@
     }
 
     mayAct(): boolean {
-        return !this.closed && this.standing.mayAct();
+        return !this.closed && this.authority.mayAct();
     }
 
     getLeaseOnlyDeadline(): Millis {
-        return this.standing.getLeaseDeadline();
+        return this.authority.getLeaseDeadline();
     }
 
     subscribe(listener: () => void): void {
@@ -151,7 +156,7 @@
         );
     }
 
-    /** Takes the store's records of the cell, at the start and after a gap of the watch. */
+    /** Applies a listing of the cell's records in the store, at the start and after a gap of the watch. */
     replaceAll(listing: StoreListing): void {
         this.memberKeys.clear();
         for (const record of listing.records) {
@@ -159,7 +164,7 @@
         }
     }
 
-    /** Takes one change of the store's records of the cell. */
+    /** Applies one change of the cell's records in the store. */
     applyEvent(key: string, value: string | undefined, revision: number): void {
         if (key === TABLE_KEY && value !== undefined) {
             this.acceptTable(value, revision);
@@ -169,9 +174,9 @@
         }
     }
 
-    /** Fetches the table from a peer that holds a newer one: the watch may be broken here and not there. */
-    receiveDigest(memberId: string, heard: HeardDigest): void {
-        if (heard.digest.tableRevision <= this.revision || this.closed) {
+    /** Fetches the table from a peer that holds a newer one, since only this entry's watch may be broken. */
+    receiveDigest(memberId: string, received: HeardDigest): void {
+        if (received.digest.tableRevision <= this.revision || this.closed) {
             return;
         }
         const { peers } = this.options.context;
@@ -180,7 +185,7 @@
         );
     }
 
-    /** Hands everything over and stops being a member. */
+    /** Hands over all slices and leaves the cell. */
     async leave(): Promise<void> {
         this.timer?.cancel();
         const owned = this.table === undefined ?
@@ -194,7 +199,7 @@
             }
         }));
         const { memberId } = this.options.context;
-        const deadline = this.options.context.clock.now() + WRITE_PATIENCE_MS;
+        const deadline = this.options.context.clock.now() + STORE_TIMEOUT_MS;
         while (this.isMember()) {
             const done = await this.write(table => removeLeavingMember(table, memberId, unready));
             if (!done && this.options.context.clock.now() >= deadline) {
@@ -205,7 +210,7 @@
         await this.lease.close();
     }
 
-    /** Stops at once, as a crash would. */
+    /** Stops at once, as in a crash. */
     close(): void {
         this.closed = true;
         this.timer?.cancel();
@@ -217,7 +222,7 @@
 
     /** Reads the table from the store; returns whether the store answered. */
     private async refreshTable(): Promise<boolean> {
-        const read = await this.options.context.store.read(TABLE_KEY, WRITE_PATIENCE_MS);
+        const read = await this.options.context.store.read(TABLE_KEY, STORE_TIMEOUT_MS);
         if (read.kind !== "done") {
             return false;
         }
@@ -248,9 +253,9 @@
         this.table = parsed.table;
         this.revision = revision;
         this.lostMembers.track(parsed.table.lost);
-        this.suspicion.trackMembers();
+        this.failureDetector.trackMembers();
         if (wasMember && !this.isMember()) {
-            this.standing.dropLease();
+            this.authority.dropLease();
         }
         this.listeners.forEach(listener => listener());
     }
@@ -267,29 +272,29 @@
     }
 
     private step(): void {
-        if (this.closed || this.busy || !this.lease.isHeld() || !this.memberKeys.isKnown()) {
+        if (this.closed || this.isChangingTable || !this.lease.isHeld() || !this.memberKeys.isKnown()) {
             return;
         }
         this.revokeSuspects();
         const change = this.planChange();
         if (change !== undefined) {
-            this.busy = true;
+            this.isChangingTable = true;
             void change().finally(() => {
-                this.busy = false;
+                this.isChangingTable = false;
             });
         }
     }
 
-    /** The next change of the table that falls to this entry, if any. */
+    /** The next change of the table that this entry should make, if any. */
     private planChange(): (() => Promise<unknown>) | undefined {
         const { table } = this;
         const { self } = this.options;
         if (table === undefined) {
             return () => this.write(current => addMember(current, self));
         }
-        const gone = this.listGone();
-        if (gone.length > 0) {
-            return () => this.write(current => removeLostMembers(current, gone));
+        const lapsed = this.listLapsedMembers();
+        if (lapsed.length > 0) {
+            return () => this.write(current => removeLostMembers(current, lapsed));
         }
         if (!this.isMember()) {
             return () => this.write(current => addMember(current, self));
@@ -306,31 +311,31 @@
                     lost: current.lost.filter(memberId => !stopped.includes(memberId)),
                 }));
         }
-        return this.handOvers.plan(table);
+        return this.handovers.plan(table);
     }
 
     /**
-     * Members to remove: without a key in the store, and either not heard of or without one for a lease's time. A
-     * member that is heard may get its key again; after an outage of the store that ended every lease, removing
-     * all of them at once would move every slice for nothing.
+     * Members to remove: those without a key in the store that are either unresponsive or have had no key for
+     * the duration of a lease. A responsive member may get its key again: after a store outage that ended
+     * every lease, removing all members at once would move every slice needlessly.
      */
-    private listGone(): readonly string[] {
+    private listLapsedMembers(): readonly string[] {
         const { clock, memberId } = this.options.context;
         const ttl = this.options.getCell().memberTtlMs;
         return this.listMemberIds().filter(each => {
             const missingSince = each === memberId ? undefined : this.memberKeys.findMissingSince(each);
             return missingSince !== undefined &&
-                (!this.suspicion.isHeard(each) || clock.now() - missingSince > ttl);
+                (!this.failureDetector.isResponsive(each) || clock.now() - missingSince > ttl);
         });
     }
 
     private revokeSuspects(): void {
         this.listMemberIds()
-            .filter(memberId => this.suspicion.isSuspectedByMajority(memberId))
+            .filter(memberId => this.failureDetector.isSuspectedByMajority(memberId))
             .forEach(memberId => this.memberKeys.revoke(memberId));
     }
 
-    /** One compare-and-swap from the table held; a conflict leaves it to the next tick. */
+    /** Changes the table by one compare-and-swap; after a conflict the next tick tries again. */
     private async write(change: (table: OwnershipTable) => OwnershipTable): Promise<boolean> {
         const base = this.table ?? buildEmptyTable();
         const next = change(base);
@@ -342,7 +347,7 @@
             key: TABLE_KEY,
             value: text,
             expectedRevision: this.revision,
-            patienceMs: WRITE_PATIENCE_MS,
+            patienceMs: STORE_TIMEOUT_MS,
             vital: true,
         });
         if (result.kind === "done") {
--- a/src/process/ownership/plan.ts
+++ b/src/process/ownership/table-changes.ts
@@ -1,4 +1,4 @@
-/** Changes of the ownership table, as pure functions from table to table. */
+/** Changes of the ownership table, as functions from one table to the next. */
 import { HOME_SLICES, WORKER_SLICES } from "../../version/settings.js";
 import type { Member } from "../roles.js";
 import { chooseOwners, listDomainsOfSlice } from "./assignment.js";
@@ -23,9 +23,7 @@
 }
 
 /**
- * Adds a member; no slice moves yet.
- * @param table - The table so far.
- * @param member - The member to add.
+ * Adds a member. It gets the slices without an owner; no other slice moves yet.
  */
 export function addMember(table: OwnershipTable, member: Member): OwnershipTable {
     const others = table.members.filter(each => each.memberId !== member.memberId);
@@ -33,28 +31,26 @@
 }
 
 /**
- * Removes members whose lease has lapsed and gives their slices to others, in one step.
- * @param table - The table so far.
- * @param gone - Ids of the members to remove.
+ * Removes members whose lease has lapsed and assigns their slices to others, in one step.
+ * @param lapsed - Ids of the members to remove.
  */
-export function removeLostMembers(table: OwnershipTable, gone: readonly string[]): OwnershipTable {
-    const members = table.members.filter(member => !gone.includes(member.memberId));
+export function removeLostMembers(table: OwnershipTable, lapsed: readonly string[]): OwnershipTable {
+    const members = table.members.filter(member => !lapsed.includes(member.memberId));
     const orphan = (entry: SliceEntry): SliceEntry =>
-        entry.owner !== undefined && gone.includes(entry.owner) ?
+        entry.owner !== undefined && lapsed.includes(entry.owner) ?
             { epoch: entry.epoch, predecessor: Predecessor.lost } :
             entry;
     return assignUnowned({
         ...table,
         members,
-        lost: [...new Set([...table.lost, ...gone])],
+        lost: [...new Set([...table.lost, ...lapsed])],
         workerSlices: table.workerSlices.map(orphan),
         homeSlices: table.homeSlices.map(orphan),
     });
 }
 
 /**
- * Removes a member that hands over in order. Slices that it had not made ready keep their predecessor's mark.
- * @param table - The table so far.
+ * Removes a member that leaves in order. Slices that it had not made ready keep their recorded predecessor.
  * @param memberId - The member that leaves; it has stopped acting on all its slices.
  * @param unready - Worker slices that it owned but never made ready.
  */
@@ -76,12 +72,11 @@
 }
 
 /**
- * Gives slices to other members, as far as they still belong to their owner.
- * @param table - The table so far.
- * @param owner - The member that gives them.
+ * Assigns slices to other members, except for slices that no longer belong to their owner.
+ * @param owner - The current owner.
  * @param moves - The slices and their new owners.
- * @param ready - For each move, whether the owner so far had made the slice ready.
- * @returns The table, the same object when none belongs to the owner.
+ * @param ready - For each move, whether the current owner had made the slice ready.
+ * @returns The new table, or the same object if none of the slices belongs to the owner.
  */
 export function moveOwned(
     table: OwnershipTable,
@@ -109,32 +104,30 @@
 
 /**
  * Adds failure domains of workers that the table does not list yet.
- * @param table - The table so far.
- * @param domains - Domains seen in the VM list.
- * @returns The table, the same object when nothing is new.
+ * @param domains - Domains in the VM list.
+ * @returns The new table, or the same object if no domain is new.
  */
 export function addWorkerDomains(table: OwnershipTable, domains: readonly string[]): OwnershipTable {
-    const fresh = domains.filter(domain => !table.workerDomains.includes(domain)).sort();
-    if (fresh.length === 0) {
+    const added = domains.filter(domain => !table.workerDomains.includes(domain)).sort();
+    if (added.length === 0) {
         return table;
     }
-    return { ...table, workerDomains: [...table.workerDomains, ...fresh] };
+    return { ...table, workerDomains: [...table.workerDomains, ...added] };
 }
 
 /**
- * Lists the slices of one member that should belong to another one.
- * @param table - The table.
- * @param memberId - The owner so far.
+ * Lists the slices of a member that should belong to another one.
+ * @param memberId - The current owner.
  */
 export function listPlannedMoves(table: OwnershipTable, memberId: string): readonly PlannedMove[] {
     const moves: PlannedMove[] = [];
     const collect = (
         kind: SliceKind,
         entries: readonly SliceEntry[],
-        wanted: readonly (string | undefined)[],
+        planned: readonly (string | undefined)[],
     ): void => {
         entries.forEach((entry, slice) => {
-            const to = wanted[slice];
+            const to = planned[slice];
             if (entry.owner === memberId && to !== undefined && to !== memberId) {
                 moves.push({ kind, slice, to });
             }
@@ -145,23 +138,14 @@
     return moves;
 }
 
-/**
- * Lists the slices of a member.
- * @param table - The table.
- * @param memberId - The owner.
- */
+/** Lists the slices that a member owns. */
 export function listOwnedSlices(table: OwnershipTable, memberId: string): readonly SliceName[] {
     const list = (kind: SliceKind, entries: readonly SliceEntry[]): readonly SliceName[] =>
         entries.flatMap((entry, slice) => entry.owner === memberId ? [{ kind, slice }] : []);
     return [...list(SliceKind.home, table.homeSlices), ...list(SliceKind.worker, table.workerSlices)];
 }
 
-/**
- * Tells whether a slice belongs to a member.
- * @param table - The table.
- * @param memberId - The member.
- * @param name - The slice.
- */
+/** Returns whether a slice belongs to a member. */
 export function isOwner(table: OwnershipTable, memberId: string, name: SliceName): boolean {
     const entries = name.kind === SliceKind.worker ? table.workerSlices : table.homeSlices;
     return entries[name.slice]?.owner === memberId;
@@ -169,8 +153,8 @@
 
 function assignUnowned(table: OwnershipTable): OwnershipTable {
     const assign =
-        (wanted: readonly (string | undefined)[]) => (entry: SliceEntry, slice: number): SliceEntry => {
-            const owner = wanted[slice];
+        (planned: readonly (string | undefined)[]) => (entry: SliceEntry, slice: number): SliceEntry => {
+            const owner = planned[slice];
             if (entry.owner !== undefined || owner === undefined) {
                 return entry;
             }
@@ -184,28 +168,28 @@
 }
 
 /**
- * Owners wanted for each table: tables never change, and the same one is looked at several times a second, by as many
- * hashes as there are slices times members.
+ * Planned owners of each table. They are cached because a table never changes, the same table is checked
+ * several times a second, and each check would compute as many hashes as there are slices times members.
  */
-const wantedWorkerOwners = new WeakMap<OwnershipTable, readonly (string | undefined)[]>();
-const wantedHomeOwners = new WeakMap<OwnershipTable, readonly (string | undefined)[]>();
+const plannedWorkerOwners = new WeakMap<OwnershipTable, readonly (string | undefined)[]>();
+const plannedHomeOwners = new WeakMap<OwnershipTable, readonly (string | undefined)[]>();
 
 function chooseWorkerOwners(table: OwnershipTable): readonly (string | undefined)[] {
-    const known = wantedWorkerOwners.get(table);
+    const known = plannedWorkerOwners.get(table);
     const owners = known ?? chooseOwners(
         SliceKind.worker,
         WORKER_SLICES,
         table.members,
         slice => listDomainsOfSlice(table.workerDomains, slice),
     );
-    wantedWorkerOwners.set(table, owners);
+    plannedWorkerOwners.set(table, owners);
     return owners;
 }
 
 function chooseHomeOwners(table: OwnershipTable): readonly (string | undefined)[] {
-    const known = wantedHomeOwners.get(table);
+    const known = plannedHomeOwners.get(table);
     const owners = known ?? chooseOwners(SliceKind.home, HOME_SLICES, table.members, () => []);
-    wantedHomeOwners.set(table, owners);
+    plannedHomeOwners.set(table, owners);
     return owners;
 }
 
--- a/src/process/ownership/table.ts
+++ b/src/process/ownership/table.ts
@@ -1,6 +1,6 @@
 /**
- * The ownership table: members of the cell and owner and epoch of each slice, one record of the store.
- * docs/design/ownership.md gives the reasons.
+ * The ownership table, one record in the store: the members of the cell and the owner and epoch of each
+ * slice. docs/design/ownership.md explains the design.
  */
 import { z } from "zod";
 import { HOME_SLICES, WORKER_SLICES } from "../../version/settings.js";
@@ -12,11 +12,11 @@
 /** Format of the table that this program writes; it refuses higher ones. */
 export const TABLE_FORMAT = 1;
 
-/** How the owner before came to lose a slice. */
+/** How the previous owner of a slice lost it. */
 export const Predecessor = {
-    /** There was none. */
+    /** There was no previous owner. */
     none: "none",
-    /** It handed the slice over: it had stopped renewing and ordering before. */
+    /** It handed the slice over, after it had stopped renewing leases and sending orders. */
     released: "released",
     /** It was removed; it may still be running, cut off or paused. */
     lost: "lost",
@@ -40,9 +40,12 @@
 const tableSchema = z.object({
     format: z.literal(TABLE_FORMAT),
     members: z.array(memberSchema),
-    /** Members removed as lost; they count for majorities until they are known to have stopped. */
+    /** Members removed as lost; they count for majorities until they have certainly stopped. */
     lost: z.array(z.string()),
-    /** Failure domains of workers in order of first sight: fixes which slices a rack can lie in. */
+    /**
+     * Failure domains of workers in the order in which they appeared, which determines the slices of their
+     * racks.
+     */
     workerDomains: z.array(z.string()),
     workerSlices: z.array(sliceSchema).length(WORKER_SLICES),
     homeSlices: z.array(sliceSchema).length(HOME_SLICES),
@@ -55,7 +58,7 @@
     readonly predecessor: Predecessor;
 }
 
-/** The table as a value; every change makes a new one. */
+/** The table as an immutable value: every change creates a new one. */
 export interface OwnershipTable {
     readonly format: typeof TABLE_FORMAT;
     readonly members: readonly Member[];
@@ -65,31 +68,29 @@
     readonly homeSlices: readonly SliceEntry[];
 }
 
-/** Result of reading the table's text. */
+/** Result of {@link parseTable}. */
 export type ParsedTable =
     | { readonly kind: "table"; readonly table: OwnershipTable; }
     | { readonly kind: "unreadable"; readonly message: string; };
 
 /**
- * Builds the table of a cell that has none: no members, nothing owned.
- * @returns The empty table.
+ * Builds the table of a cell that has none: no members, and no slice has an owner.
  */
 export function buildEmptyTable(): OwnershipTable {
-    const nobody: SliceEntry = { epoch: 0, predecessor: Predecessor.none };
+    const unowned: SliceEntry = { epoch: 0, predecessor: Predecessor.none };
     return {
         format: TABLE_FORMAT,
         members: [],
         lost: [],
         workerDomains: [],
-        workerSlices: new Array<SliceEntry>(WORKER_SLICES).fill(nobody),
-        homeSlices: new Array<SliceEntry>(HOME_SLICES).fill(nobody),
+        workerSlices: new Array<SliceEntry>(WORKER_SLICES).fill(unowned),
+        homeSlices: new Array<SliceEntry>(HOME_SLICES).fill(unowned),
     };
 }
 
 /**
- * Reads the table's text. A table of a newer format or a damaged one is refused, never replaced: replacing it
+ * Parses the stored table. A damaged table or one of a newer format is refused, never replaced: replacing it
  * would let two programs of different versions own the same slice.
- * @param text - The record's value.
  */
 export function parseTable(text: string): ParsedTable {
     let value: unknown;
@@ -116,15 +117,13 @@
 
 /**
  * Converts a table to the text that the store holds.
- * @param table - The table.
  */
 export function encodeTable(table: OwnershipTable): string {
     return JSON.stringify(table);
 }
 
 /**
- * Returns the owner of a slice in the form that the roles use.
- * @param entry - The slice's entry, if the table has one.
+ * Returns the owner of a slice in the form that the roles use; undefined if it has none.
  */
 export function getOwner(entry: SliceEntry | undefined): SliceOwner | undefined {
     if (entry?.owner === undefined) {
--- a/src/process/placement/admission.ts
+++ b/src/process/placement/admission.ts
@@ -1,51 +1,51 @@
-/** Takes work into the queues, refuses it, or gives it up: every refusal at once and with when to come back. */
+/** Admits work to the queues or sheds it; every refusal is immediate and says when to retry. */
 import type { Millis } from "../../common/clock.js";
 import type { BranchSettings } from "../../version/settings.js";
-import type { Books } from "./books.js";
+import type { AllocationLedger } from "./allocation-ledger.js";
 import { ExpiryQueue } from "./expiry-queue.js";
 import type { ItemRecord } from "./item-record.js";
 import { type Decision, type EnqueueResult, ShedReason } from "./placement-core.js";
 import type { Policy } from "./policy.js";
-import type { RoomScheduler } from "./room-scheduler.js";
 import type { SlotScheduler } from "./slot-scheduler.js";
-import type { WaitingBook } from "./waiting-book.js";
+import type { TaskScheduler } from "./task-scheduler.js";
+import type { WaitingTracker } from "./waiting-tracker.js";
 
-/** Bounds of the time after which shed work may come back. */
+/** Bounds of the delay after which shed work may be submitted again. */
 const MIN_RETRY_MS = 100;
 export const MAX_RETRY_MS = 30_000;
-/** Requests shed in one sweep at most. */
+/** Maximum number of requests shed in one sweep. */
 const MAX_SWEPT = 64;
 
-/** The bounds of the queues and the deadlines of what waits. */
+/** Enforces the queue limits and the deadlines of waiting requests. */
 export class Admission {
-    private readonly lastStarts = new ExpiryQueue();
+    private readonly latestStarts = new ExpiryQueue();
     private sheds: Decision[] = [];
 
     constructor(
-        private readonly books: Books,
-        private readonly waiting: WaitingBook,
+        private readonly ledger: AllocationLedger,
+        private readonly waiting: WaitingTracker,
         private readonly slots: SlotScheduler,
-        private readonly room: RoomScheduler,
+        private readonly tasks: TaskScheduler,
     ) {}
 
-    /** @returns Instant at which the next request must be given up; undefined for never. */
+    /** @returns Instant at which the next request must be shed; undefined if no request waits. */
     getNextExpiry(): Millis | undefined {
-        return this.lastStarts.peekAt();
+        return this.latestStarts.peekAt();
     }
 
-    /** @returns Whether sheds wait to be taken. */
+    /** @returns Whether shed decisions are pending. */
     hasSheds(): boolean {
         return this.sheds.length > 0;
     }
 
-    /** @returns Items given up since the last call. */
+    /** Removes and returns the pending shed decisions. */
     takeSheds(): Decision[] {
         const sheds = this.sheds;
         this.sheds = [];
         return sheds;
     }
 
-    /** Takes a service request in, unless it surely cannot be served in time. */
+    /** Admits a service request, unless the estimated wait is too long or the queue is full. */
     enqueueRequest(
         record: ItemRecord,
         branch: BranchSettings,
@@ -56,49 +56,52 @@
         const lastStart = this.slots.computeLastStart(record);
         const wait = this.slots.estimateWait(branch, ahead, now);
         if (now + wait > lastStart) {
-            const retryAfterMs = computeRetry(now + wait - lastStart);
+            const retryAfterMs = computeRetryDelay(now + wait - lastStart);
             return { kind: "shed", reason: ShedReason.deadline, retryAfterMs };
         }
-        const refusal = this.makeRoomInQueue(branch, ahead, now);
+        const refusal = this.ensureQueueSpace(branch, ahead, now);
         if (refusal !== undefined) {
             return refusal;
         }
-        this.books.records.set(record.item.id, record);
+        this.ledger.records.set(record.item.id, record);
         this.slots.enqueue(record, policy);
-        this.lastStarts.add(record, lastStart);
+        this.latestStarts.add(record, lastStart);
         return { kind: "queued" };
     }
 
-    /** Takes a task in, unless no worker could ever hold it. */
+    /** Admits a task, unless it exceeds the capacity of every worker or the queue is full. */
     enqueueTask(
         record: ItemRecord,
         branch: BranchSettings,
         policy: Policy,
         now: Millis,
     ): EnqueueResult {
-        if (!this.books.canEverHold(record.item.resources)) {
-            return { kind: "neverFits", largest: this.books.getLargestCapacity() };
+        if (!this.ledger.canEverHold(record.item.resources)) {
+            return { kind: "neverFits", largest: this.ledger.getLargestCapacity() };
         }
-        const refusal = this.makeRoomInQueue(branch, 0, now);
+        const refusal = this.ensureQueueSpace(branch, 0, now);
         if (refusal !== undefined) {
             return refusal;
         }
-        this.books.records.set(record.item.id, record);
+        this.ledger.records.set(record.item.id, record);
         if (record.item.gangId === undefined) {
-            this.room.enqueue(record, policy);
+            this.tasks.enqueue(record, policy);
         }
         return { kind: "queued" };
     }
 
-    /** In a full queue the newest item of the longest line gives way to one of a clearly shorter line. */
-    private makeRoomInQueue(branch: BranchSettings, ahead: number, now: Millis): EnqueueResult | undefined {
+    /**
+     * Returns a refusal if the queue is full. If the new item's flow is clearly shorter than the longest one,
+     * the newest request of the longest flow is shed in its place.
+     */
+    private ensureQueueSpace(branch: BranchSettings, ahead: number, now: Millis): EnqueueResult | undefined {
         const waiting = this.waiting.get(branch.path);
         if (waiting.size < branch.queueLimit) {
             return undefined;
         }
-        const longest = waiting.lengths.peekLongest();
+        const longest = waiting.flowLengths.peekLongest();
         const last = longest?.peekLast();
-        const retryAfterMs = computeRetry(this.slots.estimateWait(branch, ahead, now));
+        const retryAfterMs = computeRetryDelay(this.slots.estimateWait(branch, ahead, now));
         if (
             longest === undefined || last === undefined || longest.length <= ahead + 1 ||
             last.item.kind !== "service"
@@ -109,65 +112,65 @@
         return undefined;
     }
 
-    /** Gives a waiting item up; the decision is taken with the next ones. */
+    /** Sheds a waiting item; the decision is returned with the next ones. */
     shed(record: ItemRecord, reason: ShedReason, now: Millis): void {
-        const ahead = record.line?.length ?? 0;
+        const ahead = record.flow?.length ?? 0;
         const wait = record.branch === undefined ? 0 : this.slots.estimateWait(record.branch, ahead, now);
         this.drop(record);
-        this.sheds.push({ kind: "shed", item: record.item, reason, retryAfterMs: computeRetry(wait) });
+        this.sheds.push({ kind: "shed", item: record.item, reason, retryAfterMs: computeRetryDelay(wait) });
     }
 
-    /** Notes a refusal to be taken with the next decisions. */
-    report(shed: Decision): void {
+    /** Adds a shed decision, to be returned with the next ones. */
+    addShed(shed: Decision): void {
         this.sheds.push(shed);
     }
 
-    /** Takes a waiting item out, without a word. */
+    /** Removes a waiting item without a decision. */
     drop(record: ItemRecord): void {
-        this.books.records.delete(record.item.id);
+        this.ledger.records.delete(record.item.id);
         this.slots.remove(record);
-        this.room.remove(record);
-        this.lastStarts.remove(record);
+        this.tasks.remove(record);
+        this.latestStarts.remove(record);
     }
 
-    /** Sheds requests that can no longer be served in time. */
+    /** Sheds requests whose latest useful start has passed. */
     expire(now: Millis): void {
         for (
-            let record = this.lastStarts.takeDue(now);
+            let record = this.latestStarts.takeDue(now);
             record !== undefined;
-            record = this.lastStarts.takeDue(now)
+            record = this.latestStarts.takeDue(now)
         ) {
-            if (record.line !== undefined) {
+            if (record.flow !== undefined) {
                 this.shed(record, ShedReason.deadline, now);
             }
         }
     }
 
     /**
-     * Sheds the newest of the longest lines where capacity fell after they were taken in: they would be held
-     * until near their deadlines and then refused.
+     * Sheds the newest requests of the longest flows that can no longer be served in time, because capacity
+     * fell after they were admitted. Otherwise they would be refused only near their deadlines.
      */
     sweep(branches: Iterable<BranchSettings>, now: Millis): void {
-        let left = MAX_SWEPT;
+        let budget = MAX_SWEPT;
         for (const branch of branches) {
-            const { lengths } = this.waiting.get(branch.path);
-            while (left > 0) {
-                const line = branch.kind === "service" ? lengths.peekLongest() : undefined;
-                const last = line?.peekLast();
-                if (line === undefined || last === undefined) {
+            const { flowLengths } = this.waiting.get(branch.path);
+            while (budget > 0) {
+                const flow = branch.kind === "service" ? flowLengths.peekLongest() : undefined;
+                const last = flow?.peekLast();
+                if (flow === undefined || last === undefined) {
                     break;
                 }
-                const wait = this.slots.estimateWait(branch, line.length - 1, now);
+                const wait = this.slots.estimateWait(branch, flow.length - 1, now);
                 if (now + wait <= this.slots.computeLastStart(last)) {
                     break;
                 }
-                left -= 1;
+                budget -= 1;
                 this.shed(last, ShedReason.deadline, now);
             }
         }
     }
 }
 
-function computeRetry(wait: Millis): Millis {
+function computeRetryDelay(wait: Millis): Millis {
     return Math.ceil(Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, wait)));
 }
--- a/src/process/placement/books.ts
+++ b/src/process/placement/allocation-ledger.ts
@@ -1,4 +1,4 @@
-/** The books of one placer: its workers, what runs where, use by team, and where a branch's tasks lie. */
+/** Allocations of one placer: its workers, what runs on them, usage by team and spread by branch. */
 import type { Millis } from "../../common/clock.js";
 import {
     addResources,
@@ -8,41 +8,41 @@
     type Resources,
 } from "../../common/resources.js";
 import { Spread } from "../../version/settings.js";
+import { CapacityIndex } from "./capacity-index.js";
 import { type ItemRecord, ItemState } from "./item-record.js";
 import type { WorkerView, WorkItem } from "./placement-core.js";
-import type { PlaceView, SpreadCount } from "./policy.js";
-import { RoomIndex } from "./room-index.js";
-import { TeamBook } from "./team-book.js";
+import type { CandidateView, SpreadCounter } from "./policy.js";
+import { TeamRegistry } from "./team-registry.js";
 import { type Reservation, WorkerRecord } from "./worker-record.js";
 
-/** Told when a worker may have more room than before. */
-export interface RoomListener {
-    handleRoom(worker: WorkerRecord): void;
+/** Notified when a worker may have more free capacity than before. */
+export interface CapacityListener {
+    handleCapacity(worker: WorkerRecord): void;
 }
 
-/** Told when a worker's free slots changed. */
+/** Notified when a worker's free slots may have changed. */
 export interface SlotListener {
     handleSlots(worker: WorkerRecord): void;
 }
 
-/** Every booking goes through here, so that the indexes always agree with the sums. */
-export class Books implements SpreadCount {
+/** Makes and releases all allocations, so that the indexes always agree with the sums. */
+export class AllocationLedger implements SpreadCounter {
     readonly workers = new Map<string, WorkerRecord>();
     readonly records = new Map<string, ItemRecord>();
-    readonly teams = new TeamBook();
-    readonly index = new RoomIndex();
-    /** Workers with room kept back; they are not in the index. */
+    readonly teams = new TeamRegistry();
+    readonly index = new CapacityIndex();
+    /** Workers with a reservation; they are not in the capacity index. */
     readonly reserved = new Set<WorkerRecord>();
-    private readonly roomListeners: RoomListener[] = [];
+    private readonly capacityListeners: CapacityListener[] = [];
     private readonly slotListeners: SlotListener[] = [];
     private readonly spread = new Map<string, number>();
-    private keepsRoom = false;
-    /** Made again after workers came, went or changed their capacity. */
+    private keepsHeadroom = false;
+    /** Derived from the workers on demand; reset when one is added, removed or changes its capacity. */
     private fleet: Fleet | undefined;
 
     /** Adds a listener; called before the first worker. */
-    subscribeRoom(listener: RoomListener): void {
-        this.roomListeners.push(listener);
+    subscribeCapacity(listener: CapacityListener): void {
+        this.capacityListeners.push(listener);
     }
 
     /** Adds a listener; called before the first worker. */
@@ -50,13 +50,13 @@
         this.slotListeners.push(listener);
     }
 
-    /** Adds a worker, closed, or takes over its new capacity. */
+    /** Adds a worker, closed for new work, or updates its capacity. */
     updateWorker(view: WorkerView): void {
         const worker = this.workers.get(view.workerId);
         if (worker === undefined) {
             this.fleet = undefined;
             const added = new WorkerRecord(view);
-            added.keepsRoom = this.keepsRoom;
+            added.keepsHeadroom = this.keepsHeadroom;
             this.workers.set(view.workerId, added);
             this.teams.total = addResources(this.teams.total, view.capacity);
             return;
@@ -73,7 +73,7 @@
         this.refresh(worker);
     }
 
-    /** Forgets a worker; returns what was on it. */
+    /** Removes a worker and releases everything on it; returns those items. */
     removeWorker(workerId: string): readonly ItemRecord[] {
         const worker = this.workers.get(workerId);
         if (worker === undefined) {
@@ -92,11 +92,11 @@
         return lost;
     }
 
-    /** Begins or ends leaving room beside idle accelerators. */
-    setKeepsRoom(keepsRoom: boolean): void {
-        this.keepsRoom = keepsRoom;
+    /** Turns on or off the headroom beside idle accelerators. */
+    setKeepsHeadroom(keepsHeadroom: boolean): void {
+        this.keepsHeadroom = keepsHeadroom;
         for (const worker of this.getFleet().accelerated) {
-            worker.keepsRoom = keepsRoom;
+            worker.keepsHeadroom = keepsHeadroom;
             this.refresh(worker);
         }
     }
@@ -109,7 +109,7 @@
         this.refresh(worker);
     }
 
-    /** Keeps room back on a worker, or ends that. */
+    /** Sets or removes the reservation of a worker. */
     setReservation(worker: WorkerRecord, reservation: Reservation | undefined): void {
         const before = worker.reservation;
         worker.reservation = reservation;
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Books an item on a worker as held or running. */
+    /** Allocates an item on a worker, as held or running. */
     place(record: ItemRecord, worker: WorkerRecord, state: "held" | "running", now: Millis): void {
         record.state = state;
         record.worker = worker;
@@ -137,11 +137,11 @@
         }
         worker.addTask(record);
         this.teams.get(record.item.team).use(record.item.resources);
-        this.countSpread(record, worker, 1);
-        this.placeInIndex(worker);
+        this.updateSpread(record, worker, 1);
+        this.updateIndex(worker);
     }
 
-    /** Gives back all that an item took and forgets it. */
+    /** Releases everything that an item occupies and forgets it. */
     release(record: ItemRecord): void {
         const { worker, item } = record;
         this.records.delete(item.id);
@@ -155,40 +155,40 @@
             return;
         }
         worker.removeTask(record);
-        this.countSpread(record, worker, -1);
+        this.updateSpread(record, worker, -1);
         this.teams.get(item.team).release(item.resources);
         this.refresh(worker);
     }
 
-    /** Tells listeners that a worker's slots changed. */
+    /** Notifies the listeners that a worker's slots changed. */
     notifySlots(worker: WorkerRecord): void {
         for (const listener of this.slotListeners) {
             listener.handleSlots(worker);
         }
     }
 
-    /** @returns Workers from which to sample a place for a need; those with accelerators if it needs any. */
-    listCandidates(need: Resources): readonly WorkerRecord[] {
+    /** @returns Workers to sample from for a demand: only those with accelerators if it includes any. */
+    listCandidates(demand: Resources): readonly WorkerRecord[] {
         const { all, accelerated } = this.getFleet();
-        return need.accelerators > 0 ? accelerated : all;
+        return demand.accelerators > 0 ? accelerated : all;
     }
 
-    /** @returns Largest capacity of one worker, dimension by dimension. */
+    /** @returns Largest capacity of any worker, taken separately in each dimension. */
     getLargestCapacity(): Resources {
         return this.getFleet().largest;
     }
 
-    /** @returns Whether some worker could hold the need when empty. */
-    canEverHold(need: Resources): boolean {
-        return this.getFleet().sizes.some(size => isWithin(need, size));
+    /** @returns Whether some worker has the capacity for the demand when nothing else runs there. */
+    canEverHold(demand: Resources): boolean {
+        return this.getFleet().sizes.some(size => isWithin(demand, size));
     }
 
-    countNear(item: WorkItem, place: PlaceView): number {
-        return this.spread.get(`${item.branch}|${place.view.rack}`) ??
-            this.spread.get(`${item.branch}|${place.view.failureDomain}`) ?? 0;
+    countNear(item: WorkItem, candidate: CandidateView): number {
+        return this.spread.get(`${item.branch}|${candidate.view.rack}`) ??
+            this.spread.get(`${item.branch}|${candidate.view.failureDomain}`) ?? 0;
     }
 
-    /** @returns Sum of what open workers have free. */
+    /** @returns Total free capacity of the open workers. */
     sumFree(): Resources {
         let free = NO_RESOURCES;
         for (const worker of this.workers.values()) {
@@ -209,16 +209,16 @@
     }
 
     private refresh(worker: WorkerRecord): void {
-        this.placeInIndex(worker);
+        this.updateIndex(worker);
         if (worker.open) {
-            for (const listener of this.roomListeners) {
-                listener.handleRoom(worker);
+            for (const listener of this.capacityListeners) {
+                listener.handleCapacity(worker);
             }
         }
         this.notifySlots(worker);
     }
 
-    private placeInIndex(worker: WorkerRecord): void {
+    private updateIndex(worker: WorkerRecord): void {
         if (worker.open && worker.reservation === undefined) {
             this.index.update(worker);
         }
@@ -227,14 +227,14 @@
         }
     }
 
-    /** Counts only branches that spread, by the place that they keep apart. */
-    private countSpread(record: ItemRecord, worker: WorkerRecord, change: number): void {
+    /** Counts tasks by rack or failure domain, only for branches that spread over them. */
+    private updateSpread(record: ItemRecord, worker: WorkerRecord, change: number): void {
         const spread = record.branch?.spread ?? Spread.none;
         if (spread === Spread.none) {
             return;
         }
-        const place = spread === Spread.rack ? worker.view.rack : worker.view.failureDomain;
-        const key = `${record.item.branch}|${place}`;
+        const location = spread === Spread.rack ? worker.view.rack : worker.view.failureDomain;
+        const key = `${record.item.branch}|${location}`;
         const count = (this.spread.get(key) ?? 0) + change;
         if (count <= 0) {
             this.spread.delete(key);
@@ -245,12 +245,12 @@
     }
 }
 
-/** What changes only with the fleet itself. */
+/** Values derived from the set of workers and their capacities. */
 interface Fleet {
     readonly all: readonly WorkerRecord[];
     readonly accelerated: readonly WorkerRecord[];
     readonly largest: Resources;
-    /** Capacities that occur, each once. */
+    /** Distinct capacities of the workers. */
     readonly sizes: readonly Resources[];
 }
 
@@ -259,7 +259,7 @@
     let largest = NO_RESOURCES;
     for (const { view: { capacity } } of all) {
         sizes.set(`${capacity.cpuMillis}/${capacity.memoryMib}/${capacity.accelerators}`, capacity);
-        largest = computeMost(largest, capacity);
+        largest = computeMaximum(largest, capacity);
     }
     const accelerated = all.filter(worker => worker.view.capacity.accelerators > 0);
     return { all, accelerated, largest, sizes: [...sizes.values()] };
@@ -270,7 +270,7 @@
 }
 
 /** @returns The larger amount in each dimension. */
-export function computeMost(left: Resources, right: Resources): Resources {
+export function computeMaximum(left: Resources, right: Resources): Resources {
     return {
         cpuMillis: Math.max(left.cpuMillis, right.cpuMillis),
         memoryMib: Math.max(left.memoryMib, right.memoryMib),
--- a/src/process/placement/core.ts
+++ b/src/process/placement/core.ts
@@ -1,15 +1,14 @@
-/** The placement core: takes items in, keeps the books, and lets the two schedulers decide. */
+/** The placement core: admits items, keeps the allocation ledger and runs the slot and task schedulers. */
 import type { Millis } from "../../common/clock.js";
 import { createRandom, type Random } from "../../common/random.js";
 import type { Resources } from "../../common/resources.js";
 import type { PlacerLoad } from "../../connection/messages.js";
 import { Adoption, type BranchSettings, type SettingsVersion } from "../../version/settings.js";
 import { Admission, MAX_RETRY_MS } from "./admission.js";
-import { Books } from "./books.js";
+import { AllocationLedger } from "./allocation-ledger.js";
 import { observeService } from "./concurrency.js";
-import { GangBook } from "./gang-book.js";
+import { GangHolds } from "./gang-holds.js";
 import { ItemRecord, ItemState } from "./item-record.js";
-import { Learning } from "./learning.js";
 import { computeLoad } from "./load.js";
 import {
     type Decision,
@@ -25,27 +24,27 @@
 import { CapacityKind, type Policy } from "./policy.js";
 import { Preemption } from "./preemption.js";
 import { Reservations } from "./reservations.js";
-import { RoomScheduler } from "./room-scheduler.js";
+import { RunTimeEstimator } from "./run-time-estimator.js";
 import type { Scheduler } from "./scheduler.js";
 import { SlotScheduler } from "./slot-scheduler.js";
-import { WaitingBook } from "./waiting-book.js";
+import { TaskScheduler } from "./task-scheduler.js";
+import { WaitingTracker } from "./waiting-tracker.js";
 
 /** Options of {@link createPlacementCore}. */
 export interface PlacementCoreOptions {
     /** Seed of the choices made by `reserve`, which is given no random source. */
     readonly seed?: number;
-    /** Policies by name; the table of this project if left out. */
+    /** Policies by name; {@link POLICIES} if left out. */
     readonly policies?: Readonly<Record<string, Policy>>;
 }
 
-/** Decisions of one call at most: the caller goes on at once, and its event loop stays responsive. */
+/** Maximum number of decisions per call, so that the caller's event loop stays responsive. */
 const MAX_DECISIONS = 256;
-/** Time between looks at work that only time can change, such as waiting for reserved room. */
+/** Interval of sweeps over work that only time can change, such as tasks that wait for a reservation. */
 const SWEEP_MS = 250;
 
 /**
- * Creates the decisions of one placer.
- * @param options - Seed and table of policies.
+ * Creates the placement core of one placer.
  * @returns A core without workers or settings.
  */
 export function createPlacementCore(options: PlacementCoreOptions = {}): PlacementCore {
@@ -53,14 +52,14 @@
 }
 
 class Core implements PlacementCore {
-    private readonly books = new Books();
-    private readonly waiting = new WaitingBook();
-    private readonly learning = new Learning();
-    private readonly reservations = new Reservations(this.books, this.learning);
-    private readonly preemption = new Preemption(this.books, this.reservations);
+    private readonly ledger = new AllocationLedger();
+    private readonly waiting = new WaitingTracker();
+    private readonly estimator = new RunTimeEstimator();
+    private readonly reservations = new Reservations(this.ledger, this.estimator);
+    private readonly preemption = new Preemption(this.ledger, this.reservations);
     private readonly slots: SlotScheduler;
-    private readonly room: RoomScheduler;
-    private readonly gangs: GangBook;
+    private readonly tasks: TaskScheduler;
+    private readonly gangs: GangHolds;
     private readonly admission: Admission;
     private readonly schedulers: Readonly<Record<CapacityKind, Scheduler>>;
     private readonly policies: Readonly<Record<string, Policy>>;
@@ -70,15 +69,15 @@
     private hasMore = false;
 
     constructor(options: PlacementCoreOptions) {
-        const context = { books: this.books, waiting: this.waiting, learning: this.learning };
+        const context = { ledger: this.ledger, waiting: this.waiting, estimator: this.estimator };
         this.slots = new SlotScheduler(context);
-        this.room = new RoomScheduler(context, this.reservations, this.preemption);
-        this.schedulers = { slot: this.slots, room: this.room };
-        this.admission = new Admission(this.books, this.waiting, this.slots, this.room);
+        this.tasks = new TaskScheduler(context, this.reservations, this.preemption);
+        this.schedulers = { slot: this.slots, room: this.tasks };
+        this.admission = new Admission(this.ledger, this.waiting, this.slots, this.tasks);
         this.policies = options.policies ?? POLICIES;
         this.random = createRandom(options.seed ?? 0);
-        this.gangs = new GangBook(this.books, this.reservations, {
-            findWorker: record => this.findGangWorker(record),
+        this.gangs = new GangHolds(this.ledger, this.reservations, {
+            findWorker: record => this.findMemberWorker(record),
             makeRecord: item => this.makeRecord(item),
         });
     }
@@ -86,7 +85,7 @@
     setSettings(settings: SettingsVersion): void {
         const before = this.settings;
         this.settings = settings;
-        this.books.teams.setSettings(settings.teams);
+        this.ledger.teams.setSettings(settings.teams);
         this.preemption.setBudget(settings.cell.preemptionsPerMinute);
         const changed = new Set<string>();
         for (const [path, branch] of before?.branches ?? []) {
@@ -100,15 +99,15 @@
     }
 
     setTeamShares(shares: ReadonlyMap<string, Resources>): void {
-        this.books.teams.setShares(shares);
+        this.ledger.teams.setShares(shares);
     }
 
     upsertWorker(worker: WorkerView): void {
-        this.books.updateWorker(worker);
+        this.ledger.updateWorker(worker);
     }
 
     removeWorker(workerId: string): readonly string[] {
-        const lost = this.books.removeWorker(workerId);
+        const lost = this.ledger.removeWorker(workerId);
         for (const record of lost) {
             this.gangs.removeItem(record);
         }
@@ -116,14 +115,14 @@
     }
 
     setWorkerOpen(workerId: string, open: boolean): void {
-        const worker = this.books.workers.get(workerId);
+        const worker = this.ledger.workers.get(workerId);
         if (worker !== undefined) {
-            this.books.setOpen(worker, open);
+            this.ledger.setOpen(worker, open);
         }
     }
 
     enqueue(item: WorkItem, now: Millis): EnqueueResult {
-        if (this.books.records.has(item.id)) {
+        if (this.ledger.records.has(item.id)) {
             return { kind: "queued" };
         }
         const branch = this.settings?.branches.get(item.branch);
@@ -141,7 +140,7 @@
     }
 
     withdraw(itemId: string): boolean {
-        const record = this.books.records.get(itemId);
+        const record = this.ledger.records.get(itemId);
         if (record === undefined || record.state !== ItemState.queued) {
             return false;
         }
@@ -150,8 +149,8 @@
     }
 
     adopt(workerId: string, item: WorkItem, now: Millis): void {
-        const worker = this.books.workers.get(workerId);
-        const known = this.books.records.get(item.id);
+        const worker = this.ledger.workers.get(workerId);
+        const known = this.ledger.records.get(item.id);
         if (worker === undefined || known?.worker === worker) {
             return;
         }
@@ -160,47 +159,48 @@
         }
         const record = this.makeRecord(item);
         record.reason = "it ran there already when this placer took the worker over";
-        this.books.place(record, worker, "running", now);
+        this.ledger.place(record, worker, "running", now);
     }
 
     release(itemId: string, now: Millis, sample?: RunSample): boolean {
         this.gangs.expire(now);
-        const record = this.books.records.get(itemId);
+        const record = this.ledger.records.get(itemId);
         const worker = record?.worker;
         if (record === undefined || worker === undefined || record.state === ItemState.queued) {
             return false;
         }
         if (sample !== undefined) {
             if (record.item.kind === "service") {
-                observeService(worker, sample, this.learning.getMeanRun(record.item.branch));
+                observeService(worker, sample, this.estimator.getMeanRun(record.item.branch));
             }
-            this.learning.observe(record.item, sample);
+            this.estimator.observe(record.item, sample);
         }
         this.gangs.removeItem(record);
-        this.books.release(record);
+        this.ledger.release(record);
         return true;
     }
 
     decide(now: Millis, random: Random): readonly Decision[] {
         this.gangs.expire(now);
         this.admission.expire(now);
-        // The same sum as in getNextDecisionAt: the difference may round to less and then never come due.
+        // The same sum as in getNextDecisionAt: with rounding, `now - sweptAt` could stay below SWEEP_MS at
+        // the instant announced there, and the sweep would never come due.
         if (now >= this.sweptAt + SWEEP_MS) {
             this.sweptAt = now;
             this.admission.sweep(this.settings?.branches.values() ?? [], now);
         }
         const decisions = this.admission.takeSheds();
         this.slots.decide(now, random, decisions, MAX_DECISIONS);
-        this.room.decide(now, random, decisions, MAX_DECISIONS);
+        this.tasks.decide(now, random, decisions, MAX_DECISIONS);
         this.hasMore = decisions.length >= MAX_DECISIONS;
         return decisions;
     }
 
     getNextDecisionAt(now: Millis): Millis | undefined {
-        if (this.hasMore || this.admission.hasSheds() || this.room.hasReady()) {
+        if (this.hasMore || this.admission.hasSheds() || this.tasks.hasReady()) {
             return now;
         }
-        const needsSweep = this.room.hasBlocked() || this.waiting.requests > 0;
+        const needsSweep = this.tasks.hasBlocked() || this.waiting.requests > 0;
         const instants = [
             needsSweep ? this.sweptAt + SWEEP_MS : undefined,
             this.admission.getNextExpiry(),
@@ -225,20 +225,20 @@
     }
 
     getLoad(): PlacerLoad {
-        return computeLoad(this.books, this.waiting);
+        return computeLoad(this.ledger, this.waiting);
     }
 
     findWorkerOf(itemId: string): string | undefined {
-        return this.books.records.get(itemId)?.worker?.id;
+        return this.ledger.records.get(itemId)?.worker?.id;
     }
 
     explain(itemId: string, now: Millis): readonly string[] {
-        const record = this.books.records.get(itemId);
+        const record = this.ledger.records.get(itemId);
         if (record === undefined) {
             return [];
         }
         const { worker, branch, item } = record;
-        const learned = this.learning.describe(item.branch);
+        const learned = this.estimator.describe(item.branch);
         if (worker !== undefined) {
             return [
                 `${record.state} on ${worker.id} since ${
@@ -261,13 +261,13 @@
         }
         else {
             this.gangs.removeItem(record);
-            this.books.release(record);
+            this.ledger.release(record);
         }
     }
 
     private enqueueAgain(changed: ReadonlySet<string>): void {
         const moved: ItemRecord[] = [];
-        for (const record of this.books.records.values()) {
+        for (const record of this.ledger.records.values()) {
             if (record.state === ItemState.queued && changed.has(record.item.branch)) {
                 moved.push(record);
             }
@@ -281,7 +281,7 @@
         for (const { item } of moved) {
             const result = this.enqueue(item, item.queuedAt);
             if (result.kind === "shed") {
-                this.admission.report({
+                this.admission.addShed({
                     kind: "shed",
                     item,
                     reason: result.reason,
@@ -291,22 +291,24 @@
         }
     }
 
-    private findGangWorker(record: ItemRecord) {
+    private findMemberWorker(record: ItemRecord) {
         const { branch, item } = record;
         return branch === undefined ?
             undefined :
-            this.room.findWorker(item, this.getPolicy(branch, item), this.random).worker;
+            this.tasks.findWorker(item, this.getPolicy(branch, item), this.random).worker;
     }
 
     private makeRecord(item: WorkItem): ItemRecord {
         return new ItemRecord(
             item,
             this.settings?.branches.get(item.branch),
-            this.learning.estimateRun(item),
+            this.estimator.estimateRun(item),
         );
     }
 
-    /** A service request always takes a slot and a task always room, whatever a branch names. */
+    /**
+     * A service request always takes a slot and a task always resources, whatever policy the branch names.
+     */
     private getPolicy(branch: BranchSettings, item: WorkItem): Policy {
         const named = this.policies[branch.policy];
         const wanted = item.kind === "service" ? CapacityKind.slot : CapacityKind.room;
--- a/src/process/placement/expiry-queue.ts
+++ b/src/process/placement/expiry-queue.ts
@@ -1,4 +1,4 @@
-/** Waiting requests by the latest instant at which a start is worthwhile. */
+/** Waiting requests, ordered by the latest instant at which starting them is still useful. */
 import { Heap } from "heap-js";
 import type { Millis } from "../../common/clock.js";
 import { type ItemRecord, ItemState } from "./item-record.js";
@@ -8,15 +8,15 @@
     readonly at: Millis;
 }
 
-/** Stale entries allowed before the heap is built again. */
-const STALE_FLOOR = 1_024;
+/** Stale entries allowed, beyond the number of live ones, before the heap is rebuilt. */
+const MIN_STALE_ALLOWANCE = 1_024;
 
-/** A heap with lazy removal: adding costs logarithmic time, removing constant time on average. */
+/** A heap with lazy removal: adding takes logarithmic time, removing amortized constant time. */
 export class ExpiryQueue {
     private heap = new Heap<Entry>((left, right) => left.at - right.at);
     private readonly live = new Set<ItemRecord>();
 
-    /** @returns Requests that wait. */
+    /** Number of waiting requests. */
     get size(): number {
         return this.live.size;
     }
@@ -26,12 +26,12 @@
         this.heap.push({ record, at });
     }
 
-    /** Forgets a request that no longer waits. */
+    /** Removes a request that no longer waits. */
     remove(record: ItemRecord): void {
         this.live.delete(record);
-        if (this.heap.length > 2 * this.live.size + STALE_FLOOR) {
-            const left = this.heap.toArray().filter(entry => this.isLive(entry.record));
-            this.heap.init(left);
+        if (this.heap.length > 2 * this.live.size + MIN_STALE_ALLOWANCE) {
+            const live = this.heap.toArray().filter(entry => this.isLive(entry.record));
+            this.heap.init(live);
         }
     }
 
@@ -41,7 +41,7 @@
         return this.heap.peek()?.at;
     }
 
-    /** @returns A request whose instant has come, taken out; undefined when there is none. */
+    /** Removes and returns a request whose instant has passed; undefined when there is none. */
     takeDue(now: Millis): ItemRecord | undefined {
         this.dropStale();
         const top = this.heap.peek();
--- a/src/process/placement/line.ts
+++ b/src/process/placement/flow.ts
@@ -1,22 +1,22 @@
 /**
- * Waiting lines: items of one caller or team that go in order of arrival, and the heap that orders lines by
- * the rank that a policy gives them.
+ * Flows in the sense of fair queueing: waiting items of one caller or team, served in order of arrival, and a
+ * heap that orders flows by the rank that their policy computes.
  */
 import { Heap } from "heap-js";
 import type { Millis } from "../../common/clock.js";
 import type { BranchSettings } from "../../version/settings.js";
 import type { ItemRecord } from "./item-record.js";
 import type { Policy } from "./policy.js";
-import type { TeamAccount } from "./team-book.js";
+import type { TeamUsage } from "./team-registry.js";
 
-/** Items of one caller or team in one queue. Adding, taking and removing anywhere cost constant time. */
-export class Line {
+/** Waiting items of one caller or team in one queue: a linked list with constant-time removal. */
+export class Flow {
     head: ItemRecord | undefined;
     length = 0;
-    /** Start tag and finish tag of start-time fair queueing, in milliseconds of served time. */
+    /** Start tag and finish tag of start-time fair queueing, in milliseconds of service. */
     startTag = 0;
     finishTag = 0;
-    /** Entry of the heap that counts; older entries are stale. */
+    /** Version of the valid heap entry; entries with older versions are stale. */
     version = 0;
     isInHeap = false;
     private tail: ItemRecord | undefined;
@@ -26,13 +26,13 @@
         readonly branch: BranchSettings,
         readonly policy: Policy,
         readonly urgent: boolean,
-        readonly team: TeamAccount,
-        readonly queue: LineOwner,
+        readonly team: TeamUsage,
+        readonly queue: FlowOwner,
     ) {}
 
     /** Appends an item. */
     push(record: ItemRecord): void {
-        record.line = this;
+        record.flow = this;
         record.previous = this.tail;
         record.next = undefined;
         if (this.tail === undefined) {
@@ -45,7 +45,7 @@
         this.length += 1;
     }
 
-    /** Takes an item out, wherever it stands. */
+    /** Removes an item at any position. */
     remove(record: ItemRecord): void {
         if (record.previous === undefined) {
             this.head = record.next;
@@ -59,94 +59,94 @@
         else {
             record.next.previous = record.previous;
         }
-        record.line = undefined;
+        record.flow = undefined;
         record.previous = undefined;
         record.next = undefined;
         this.length -= 1;
     }
 
-    /** @returns The newest item. */
+    /** @returns The newest item, or undefined. */
     peekLast(): ItemRecord | undefined {
         return this.tail;
     }
 
-    /** @returns When the waiting of the first item began; 0 when empty. */
+    /** @returns Instant at which the first item began to wait; 0 if the flow is empty. */
     getHeadQueuedAt(): Millis {
         return this.head?.item.queuedAt ?? 0;
     }
 }
 
-/** The queue that a line belongs to. */
-export interface LineOwner {
-    /** Takes a line back into the order, as after its team gave something back. */
-    refresh(line: Line): void;
+/** The queue to which a flow belongs. */
+export interface FlowOwner {
+    /** Puts a flow back into the scheduling order, for example after its team released resources. */
+    refresh(flow: Flow): void;
 }
 
 interface HeapEntry {
-    readonly line: Line;
+    readonly flow: Flow;
     readonly rank: number;
     readonly version: number;
     readonly sequence: number;
 }
 
-/** Stale entries allowed for each line before the heap is built again. */
-const STALE_FACTOR = 4;
-const STALE_FLOOR = 64;
+/** Entries allowed per active flow, plus a constant, before the heap is rebuilt without stale ones. */
+const MAX_STALE_PER_FLOW = 4;
+const MIN_STALE_ALLOWANCE = 64;
 
-/** Lines by rank, lowest first; equal ranks in the order in which they came. */
-export class LineHeap {
+/** Flows by rank, lowest first; flows of equal rank in the order of insertion. */
+export class FlowHeap {
     private heap = new Heap<HeapEntry>(compareEntries);
     private sequence = 0;
     private active = 0;
 
-    /** Puts a line in, or moves it to its present rank. */
-    push(line: Line): void {
-        line.version += 1;
-        if (!line.isInHeap) {
-            line.isInHeap = true;
+    /** Adds a flow, or moves it to its current rank. */
+    push(flow: Flow): void {
+        flow.version += 1;
+        if (!flow.isInHeap) {
+            flow.isInHeap = true;
             this.active += 1;
         }
         this.sequence += 1;
-        const rank = line.policy.computeRank(line);
-        this.heap.push({ line, rank, version: line.version, sequence: this.sequence });
-        if (this.heap.length > STALE_FACTOR * this.active + STALE_FLOOR) {
+        const rank = flow.policy.computeRank(flow);
+        this.heap.push({ flow, rank, version: flow.version, sequence: this.sequence });
+        if (this.heap.length > MAX_STALE_PER_FLOW * this.active + MIN_STALE_ALLOWANCE) {
             this.rebuild();
         }
     }
 
-    /** Takes a line out of the order. */
-    remove(line: Line): void {
-        if (line.isInHeap) {
-            line.isInHeap = false;
-            line.version += 1;
+    /** Removes a flow. */
+    remove(flow: Flow): void {
+        if (flow.isInHeap) {
+            flow.isInHeap = false;
+            flow.version += 1;
             this.active -= 1;
         }
     }
 
-    /** @returns The line of lowest rank, or undefined. Ranks that rose since the push are corrected here. */
-    peek(): Line | undefined {
+    /** @returns The flow of lowest rank, or undefined. Ranks that rose since the push are corrected here. */
+    peek(): Flow | undefined {
         for (let top = this.heap.peek(); top !== undefined; top = this.heap.peek()) {
-            const { line } = top;
-            if (top.version !== line.version) {
+            const { flow } = top;
+            if (top.version !== flow.version) {
                 this.heap.pop();
                 continue;
             }
-            if (line.length === 0) {
+            if (flow.length === 0) {
                 this.heap.pop();
-                this.remove(line);
+                this.remove(flow);
                 continue;
             }
-            if (line.policy.computeRank(line) <= top.rank) {
-                return line;
+            if (flow.policy.computeRank(flow) <= top.rank) {
+                return flow;
             }
             this.heap.pop();
-            this.push(line);
+            this.push(flow);
         }
         return undefined;
     }
 
     private rebuild(): void {
-        const live = this.heap.toArray().filter(entry => entry.version === entry.line.version);
+        const live = this.heap.toArray().filter(entry => entry.version === entry.flow.version);
         this.heap = new Heap<HeapEntry>(compareEntries);
         this.heap.init(live);
     }
@@ -156,25 +156,25 @@
     return left.rank - right.rank || left.sequence - right.sequence;
 }
 
-/** Lines of one branch by length, so that the longest is found in constant time. */
+/** Flows of one branch by length, so that the longest is found in constant time. */
 export class LengthIndex {
-    private readonly byLength: Set<Line>[] = [];
+    private readonly byLength: Set<Flow>[] = [];
     private longest = 0;
 
-    /** Notes that a line grew or shrank by one. */
-    update(line: Line, before: number): void {
-        this.byLength[before]?.delete(line);
-        if (line.length > 0) {
-            (this.byLength[line.length] ??= new Set()).add(line);
-            this.longest = Math.max(this.longest, line.length);
+    /** Updates the index after a flow grew or shrank by one from the length `before`. */
+    update(flow: Flow, before: number): void {
+        this.byLength[before]?.delete(flow);
+        if (flow.length > 0) {
+            (this.byLength[flow.length] ??= new Set()).add(flow);
+            this.longest = Math.max(this.longest, flow.length);
         }
         while (this.longest > 0 && (this.byLength[this.longest]?.size ?? 0) === 0) {
             this.longest -= 1;
         }
     }
 
-    /** @returns A longest line, or undefined when all are empty. */
-    peekLongest(): Line | undefined {
+    /** @returns One of the longest flows, or undefined if all are empty. */
+    peekLongest(): Flow | undefined {
         return this.byLength[this.longest]?.values().next().value;
     }
 }
--- a/src/process/placement/gang-book.ts
+++ b/src/process/placement/gang-holds.ts
@@ -1,63 +1,63 @@
 /**
- * Holds for gangs: room taken for all members, or for the first so many, until the gang starts or gives up.
+ * Holds for gangs: resources allocated for all members, or the first few, until the gang starts or is
+ * released.
  *
- * @remarks Deadlock between gangs that each hold a part is prevented twice: a hold ends at its time limit, and
- * an older gang that needs room takes it from the holds of younger ones (wound-wait by the beginning of their
- * waiting, then by id). The oldest gang that could not be held whole also gets room reserved on workers that
- * become free, so that small work cannot pass it for ever; other work fills that room only in front of the
- * reserved start.
+ * @remarks Deadlock between partially held gangs is prevented in two ways: a hold expires, and an older gang
+ * takes resources from the holds of younger ones (wound-wait, ordered by the start of waiting, then by id).
+ * The oldest gang that is not held completely also gets capacity reserved on workers as they become free, so
+ * that small tasks cannot starve it; other work may only backfill that capacity ahead of the reserved start.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import type { Resources } from "../../common/resources.js";
-import type { Books } from "./books.js";
+import type { AllocationLedger } from "./allocation-ledger.js";
 import { type ItemRecord, ItemState } from "./item-record.js";
 import type { Decision, HoldResult, WorkItem } from "./placement-core.js";
 import { countFits, type Reservations } from "./reservations.js";
 import type { WorkerRecord } from "./worker-record.js";
 
-/** Bounds of the time after which a home asks again. */
+/** Bounds of the delay after which the home of the job should ask again. */
 const MIN_RETRY_MS = 50;
 const MAX_RETRY_MS = 5_000;
-/** How long reserved room outlives the hold, so that the gang's next try finds it. */
+/** Time by which reservations outlive the hold, so that the gang's next attempt finds them. */
 const RESERVATION_GRACE_MS = 10_000;
 
 interface Hold {
     readonly gangId: string;
     readonly queuedAt: Millis;
     expiresAt: Millis;
-    /** Held items by id, in the order of the gang. */
+    /** Held items by id, in the order in which they were held. */
     readonly items: Map<string, ItemRecord>;
 }
 
-/** Workers with room reserved for a gang at once, as a share: the others go on serving short work at once. */
-const RESERVED_SHARE = 0.8;
+/** Maximum share of the workers reserved for a gang; the others keep serving short work without delay. */
+const MAX_RESERVED_SHARE = 0.8;
 
-/** Room reserved for a gang, against what it still needs. */
-const OVERBOOKING = 4;
+/** Number of member places to reserve for each member that is still missing. */
+const OVERRESERVATION_FACTOR = 4;
 
-/** The gang for which room is reserved. */
-interface PendingGang {
+/** The gang for which capacity is reserved. */
+interface ReservingGang {
     readonly gangId: string;
     readonly queuedAt: Millis;
     expiresAt: Millis;
 }
 
-/** Finds a worker for a member as ordinary work, and makes its record. */
-export interface GangHost {
+/** Creates the record of a gang member and finds a worker for it as for any other task. */
+export interface MemberPlacer {
     findWorker(record: ItemRecord): WorkerRecord | undefined;
     makeRecord(item: WorkItem): ItemRecord;
 }
 
 /** All holds of one placer. */
-export class GangBook {
+export class GangHolds {
     private readonly holds = new Map<string, Hold>();
-    private pending: PendingGang | undefined;
+    private reservingGang: ReservingGang | undefined;
 
     constructor(
-        private readonly books: Books,
+        private readonly ledger: AllocationLedger,
         private readonly reservations: Reservations,
-        private readonly host: GangHost,
+        private readonly placer: MemberPlacer,
     ) {}
 
     reserve(
@@ -76,22 +76,22 @@
             this.holds.delete(gangId);
         }
         if (held === items.length) {
-            this.dropPending(gangId);
+            this.dropReservations(gangId);
             return { held };
         }
-        const readyAt = this.reserveRest(hold, items.slice(held), now, random);
+        const readyAt = this.reserveRemaining(hold, items.slice(held), now, random);
         const wait = readyAt === undefined ? MAX_RETRY_MS : readyAt - now;
         return { held, moreAfterMs: Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, wait)) };
     }
 
-    /** Starts all that a gang holds; empty if the hold is gone. */
+    /** Starts all held members of a gang; returns no decisions if the hold has expired or was released. */
     commit(gangId: string, now: Millis): readonly Decision[] {
         const hold = this.holds.get(gangId);
         if (hold === undefined || hold.expiresAt <= now) {
             return [];
         }
         this.holds.delete(gangId);
-        this.dropPending(gangId);
+        this.dropReservations(gangId);
         const decisions: Decision[] = [];
         for (const record of hold.items.values()) {
             const { worker } = record;
@@ -107,13 +107,13 @@
         return decisions;
     }
 
-    /** Gives back all that a gang holds and what is reserved for it. */
+    /** Releases the hold and the reservations of a gang. */
     release(gangId: string): void {
         this.dropHold(gangId);
-        this.dropPending(gangId);
+        this.dropReservations(gangId);
     }
 
-    /** Notes that one held item was released by itself. */
+    /** Removes one item from its hold because it is being released on its own. */
     removeItem(record: ItemRecord): void {
         const hold = record.holdId === undefined ? undefined : this.holds.get(record.holdId);
         hold?.items.delete(record.item.id);
@@ -122,19 +122,19 @@
         }
     }
 
-    /** Drops holds whose time is over. */
+    /** Drops expired holds and reservations. */
     expire(now: Millis): void {
         for (const hold of this.holds.values()) {
             if (hold.expiresAt <= now) {
                 this.dropHold(hold.gangId);
             }
         }
-        if (this.pending !== undefined && this.pending.expiresAt <= now) {
-            this.dropPending(this.pending.gangId);
+        if (this.reservingGang !== undefined && this.reservingGang.expiresAt <= now) {
+            this.dropReservations(this.reservingGang.gangId);
         }
     }
 
-    /** @returns Instant at which the next hold ends; undefined for never. */
+    /** @returns Instant at which the next hold expires; undefined if there is none. */
     getNextExpiry(): Millis | undefined {
         let next: Millis | undefined;
         for (const hold of this.holds.values()) {
@@ -153,7 +153,9 @@
         return hold;
     }
 
-    /** Holds items in order up to the first that does not fit; returns how many are held from the first on. */
+    /**
+     * Holds items in order up to the first that does not fit; returns how many from the first on are held.
+     */
     private fill(hold: Hold, items: readonly WorkItem[], now: Millis): number {
         let held = 0;
         for (const item of items) {
@@ -166,41 +168,41 @@
     }
 
     private tryHold(hold: Hold, item: WorkItem, now: Millis): boolean {
-        if (this.books.records.has(item.id) || !this.books.teams.get(item.team).mayUse(item.resources)) {
+        if (this.ledger.records.has(item.id) || !this.ledger.teams.get(item.team).mayUse(item.resources)) {
             return false;
         }
-        const record = this.host.makeRecord(item);
-        const worker = this.findReserved(hold.gangId, item.resources) ?? this.host.findWorker(record);
+        const record = this.placer.makeRecord(item);
+        const worker = this.findReserved(hold.gangId, item.resources) ?? this.placer.findWorker(record);
         if (worker === undefined) {
             return false;
         }
-        this.books.place(record, worker, "held", now);
+        this.ledger.place(record, worker, "held", now);
         record.holdId = hold.gangId;
         hold.items.set(item.id, record);
         this.useReservation(worker, hold.gangId);
         return true;
     }
 
-    private findReserved(gangId: string, need: Resources): WorkerRecord | undefined {
+    private findReserved(gangId: string, demand: Resources): WorkerRecord | undefined {
         for (const worker of this.reservations.list(gangId)) {
-            if (worker.open && worker.hasRoom(need)) {
+            if (worker.open && worker.hasCapacity(demand)) {
                 return worker;
             }
         }
         return undefined;
     }
 
-    /** Lowers a reservation by what was now held on the worker. */
+    /** Reduces a reservation by the member that is now held on the worker. */
     private useReservation(worker: WorkerRecord, gangId: string): void {
         const { reservation } = worker;
         if (reservation?.ownerId !== gangId) {
             return;
         }
         const count = reservation.count - 1;
-        this.books.setReservation(worker, count === 0 ? undefined : { ...reservation, count });
+        this.ledger.setReservation(worker, count === 0 ? undefined : { ...reservation, count });
     }
 
-    /** Drops the youngest hold that is younger than the given one; returns whether there was one. */
+    /** Drops the youngest of the holds that are younger than the given one; returns whether there was one. */
     private dropYoungest(hold: Hold): boolean {
         let youngest: Hold | undefined;
         for (const other of this.holds.values()) {
@@ -219,62 +221,68 @@
         const hold = this.holds.get(gangId);
         this.holds.delete(gangId);
         for (const record of hold?.items.values() ?? []) {
-            this.books.release(record);
+            this.ledger.release(record);
         }
     }
 
-    /** Reserves room for the members not held, if no older gang waits; returns when the first will fit. */
-    private reserveRest(
+    /**
+     * Reserves capacity for the members not held, unless an older gang has reservations; returns when the
+     * first will fit.
+     */
+    private reserveRemaining(
         hold: Hold,
-        rest: readonly WorkItem[],
+        remaining: readonly WorkItem[],
         now: Millis,
         random: Random,
     ): Millis | undefined {
-        const { pending } = this;
-        if (pending !== undefined && pending.gangId !== hold.gangId && !isOlder(hold, pending)) {
+        const { reservingGang } = this;
+        if (
+            reservingGang !== undefined && reservingGang.gangId !== hold.gangId &&
+            !isOlder(hold, reservingGang)
+        ) {
             return undefined;
         }
-        if (pending !== undefined && pending.gangId !== hold.gangId) {
-            this.reservations.drop(pending.gangId);
+        if (reservingGang !== undefined && reservingGang.gangId !== hold.gangId) {
+            this.reservations.drop(reservingGang.gangId);
         }
         const expiresAt = hold.expiresAt + RESERVATION_GRACE_MS;
-        this.pending = { gangId: hold.gangId, queuedAt: hold.queuedAt, expiresAt };
+        this.reservingGang = { gangId: hold.gangId, queuedAt: hold.queuedAt, expiresAt };
         const soonest = this.reservations.renew(hold.gangId, expiresAt, now);
-        const added = this.planRest(hold.gangId, rest, expiresAt, now, random);
+        const added = this.planRemaining(hold.gangId, remaining, expiresAt, now, random);
         return soonest === undefined ? added : Math.min(soonest, added ?? Infinity);
     }
 
     /**
-     * Reserves room for more members than are left, whole workers where they are needed: the gang takes what
-     * comes free first, and what it does not need goes back when it is complete. Waiting for just as many
-     * places kept most of the room idle until the slowest of them was free.
+     * Reserves capacity for more members than are missing, whole workers where necessary. The gang takes what
+     * becomes free first and drops the rest when it is complete. With exactly as many places as members, most
+     * of the reserved capacity idled until the slowest place was free.
      */
-    private planRest(
+    private planRemaining(
         gangId: string,
-        rest: readonly WorkItem[],
+        remaining: readonly WorkItem[],
         expiresAt: Millis,
         now: Millis,
         random: Random,
     ): Millis | undefined {
-        const item = rest[0];
-        if (item === undefined || !this.books.teams.get(item.team).mayUse(item.resources)) {
+        const item = remaining[0];
+        if (item === undefined || !this.ledger.teams.get(item.team).mayUse(item.resources)) {
             return undefined;
         }
         const unit = item.resources;
-        const mostWorkers = Math.max(1, Math.floor(RESERVED_SHARE * this.books.workers.size));
-        const wanted = OVERBOOKING * rest.length;
+        const maxWorkers = Math.max(1, Math.floor(MAX_RESERVED_SHARE * this.ledger.workers.size));
+        const wanted = OVERRESERVATION_FACTOR * remaining.length;
         let reserved = 0;
         for (const worker of this.reservations.list(gangId)) {
             reserved += worker.reservation?.count ?? 0;
         }
         let soonest: Millis | undefined;
-        while (reserved < wanted && this.reservations.list(gangId).size < mostWorkers) {
+        while (reserved < wanted && this.reservations.list(gangId).size < maxWorkers) {
             const plan = this.reservations.plan(unit, now, random);
             if (plan === undefined) {
                 break;
             }
             const { worker, readyAt } = plan;
-            const count = Math.min(rest.length, countMost(worker, unit));
+            const count = Math.min(remaining.length, countFitsWhenEmpty(worker, unit));
             this.reservations.add(worker, { ownerId: gangId, unit, count, readyAt, expiresAt });
             soonest = Math.min(soonest ?? Infinity, readyAt);
             reserved += count;
@@ -282,20 +290,20 @@
         return soonest;
     }
 
-    private dropPending(gangId: string): void {
+    private dropReservations(gangId: string): void {
         this.reservations.drop(gangId);
-        if (this.pending?.gangId === gangId) {
-            this.pending = undefined;
+        if (this.reservingGang?.gangId === gangId) {
+            this.reservingGang = undefined;
         }
     }
 }
 
-function isOlder(left: Hold | PendingGang, right: Hold | PendingGang): boolean {
+function isOlder(left: Hold | ReservingGang, right: Hold | ReservingGang): boolean {
     return left.queuedAt < right.queuedAt || left.queuedAt === right.queuedAt && left.gangId < right.gangId;
 }
 
-/** @returns How many members the empty worker would hold; at least 1. */
-function countMost(worker: WorkerRecord, unit: Resources): number {
+/** @returns How many members fit on the worker if nothing else is allocated there; at least 1. */
+function countFitsWhenEmpty(worker: WorkerRecord, unit: Resources): number {
     const { cpuMillis, memoryMib, accelerators } = worker.view.capacity;
     return Math.max(1, countFits(unit, { cpu: cpuMillis, memory: memoryMib, accelerators }));
 }
--- a/src/process/placement/item-record.ts
+++ b/src/process/placement/item-record.ts
@@ -1,11 +1,11 @@
-/** One request or task from the moment it waits until it is released. */
+/** State of one request or task from enqueueing until release. */
 import type { Millis } from "../../common/clock.js";
 import type { BranchSettings } from "../../version/settings.js";
-import type { Line } from "./line.js";
+import type { Flow } from "./flow.js";
 import type { WorkItem } from "./placement-core.js";
 import type { WorkerRecord } from "./worker-record.js";
 
-/** Where an item is in its life at this placer. */
+/** Lifecycle state of an item at this placer; `held` is placed for a gang that has not started yet. */
 export const ItemState = {
     queued: "queued",
     held: "held",
@@ -13,22 +13,22 @@
 } as const;
 export type ItemState = (typeof ItemState)[keyof typeof ItemState];
 
-/** An item and its place in the queue or on a worker. */
+/** An item and its position in a queue or on a worker. */
 export class ItemRecord {
     state: ItemState = ItemState.queued;
     worker: WorkerRecord | undefined;
-    /** Instant of the start decision. */
+    /** Instant at which the item was placed or held; a gang member gets a new one when the gang starts. */
     startedAt: Millis = 0;
-    /** Corrected estimate of its run time. */
+    /** Expected run time, corrected by observed run times. */
     expectedMs: Millis;
-    /** Why it runs where it runs, in words. */
+    /** Reason for the choice of the worker, for the log and `explain`. */
     reason = "";
-    /** Gang whose hold it belongs to. */
+    /** Id of the gang whose hold the item belongs to. */
     holdId: string | undefined;
-    /** Owner of the reservation in front of which it was started. */
+    /** Owner of the reservation ahead of which the item was backfilled. */
     backfilledFor: string | undefined;
-    /** The waiting line it stands in, and its neighbours there. */
-    line: Line | undefined;
+    /** The flow in which the item waits, and its neighbours there. */
+    flow: Flow | undefined;
     previous: ItemRecord | undefined;
     next: ItemRecord | undefined;
 
--- a/src/process/placement/load.ts
+++ b/src/process/placement/load.ts
@@ -1,20 +1,20 @@
-/** What a placer tells the others of its load. */
+/** The load that a placer reports to the other entries. */
 import { NO_RESOURCES } from "../../common/resources.js";
 import type { PlacerLoad } from "../../connection/messages.js";
-import { type Books, computeMost } from "./books.js";
-import type { WaitingBook } from "./waiting-book.js";
+import { type AllocationLedger, computeMaximum } from "./allocation-ledger.js";
+import type { WaitingTracker } from "./waiting-tracker.js";
 
-/** @returns Load of a placer; goes through its workers, a few times a second. */
-export function computeLoad(books: Books, waiting: WaitingBook): PlacerLoad {
+/** @returns Load of a placer. Scans all its workers, which is cheap enough for a few calls per second. */
+export function computeLoad(ledger: AllocationLedger, waiting: WaitingTracker): PlacerLoad {
     let freeSlots = 0;
     let totalSlots = 0;
     let largestFree = NO_RESOURCES;
-    for (const worker of books.workers.values()) {
+    for (const worker of ledger.workers.values()) {
         if (worker.open) {
             const ceiling = worker.getSlotCeiling();
             totalSlots += ceiling;
             freeSlots += Math.max(0, ceiling - worker.inFlight);
-            largestFree = computeMost(largestFree, {
+            largestFree = computeMaximum(largestFree, {
                 cpuMillis: worker.freeCpu,
                 memoryMib: worker.freeMemory,
                 accelerators: worker.freeAccelerators,
@@ -22,15 +22,15 @@
         }
     }
     return {
-        workers: books.workers.size,
+        workers: ledger.workers.size,
         freeSlots,
         totalSlots,
         queuedRequests: waiting.requests,
         queuedTasks: waiting.tasks,
-        free: books.sumFree(),
-        total: books.teams.total,
+        free: ledger.sumFree(),
+        total: ledger.teams.total,
         largestFree,
-        largestWorker: books.getLargestCapacity(),
-        teamUse: books.teams.listUse(),
+        largestWorker: ledger.getLargestCapacity(),
+        teamUse: ledger.teams.listUse(),
     };
 }
--- a/src/process/placement/placement-core.ts
+++ b/src/process/placement/placement-core.ts
@@ -1,9 +1,9 @@
 /**
- * The decisions of one placer: which worker takes which request or task, and when.
+ * Interface of the placement core, which decides which worker takes which request or task, and when.
  *
- * @remarks Pure of I/O and deterministic: time and random source are passed in, and equal calls give equal
- * decisions. The placer owns the only instance for its workers, so capacity needs no lock. A `start` decision
- * has already taken the resources; whoever cannot carry it out calls `release`.
+ * @remarks It does no I/O and is deterministic: time and random source are passed in, and equal calls give
+ * equal decisions. A placer has the only instance for its workers, so capacity needs no lock. A `start`
+ * decision has already allocated the resources; a placer that cannot carry it out calls `release`.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
@@ -12,7 +12,7 @@
 import type { WorkKind } from "../../request/work.js";
 import type { SettingsVersion } from "../../version/settings.js";
 
-/** A worker as the core needs to know it. */
+/** A worker, as described to the core. */
 export interface WorkerView {
     readonly workerId: string;
     readonly rack: string;
@@ -20,11 +20,11 @@
     readonly capacity: Resources;
     readonly slots: number;
     readonly maxConnections: number;
-    /** Used by work of others, such as the operators' old scripts. */
+    /** Used by processes outside this scheduler, such as the operators' old scripts. */
     readonly foreignUse: Resources;
 }
 
-/** A request or task that wants a worker. */
+/** A request or task to be placed on a worker. */
 export interface WorkItem {
     /** Attempt id; unique. */
     readonly id: string;
@@ -34,26 +34,26 @@
     readonly callerId: string;
     readonly urgent: boolean;
     readonly repeatable: boolean;
-    /** What a task needs; service requests need one slot and no resources. */
+    /** Resource demand of a task; a service request takes one slot and no resources. */
     readonly resources: Resources;
     /** Declared run time, in milliseconds. */
     readonly estimateMs: Millis;
-    /** Instant at which its waiting began; may lie before it reached this placer. */
+    /** Instant at which the item began to wait; may be before it reached this placer. */
     readonly queuedAt: Millis;
-    /** Instant after which it is worthless; undefined for tasks. */
+    /** Instant after which the answer is useless; undefined for tasks. */
     readonly deadline?: Millis;
-    /** Workers not to be chosen if any other can. */
+    /** Ids of workers to choose only if no other can take the item. */
     readonly avoid: readonly string[];
-    /** Set for tasks of a gang: they start by {@link PlacementCore.reserve} and `commitHold` only. */
+    /** Set for tasks of a gang, which start only through {@link PlacementCore.reserve} and `commitHold`. */
     readonly gangId?: string;
 }
 
-/** Answer to {@link PlacementCore.enqueue}. */
+/** Result of {@link PlacementCore.enqueue}. */
 export type EnqueueResult =
     | { readonly kind: "queued"; }
-    /** Not taken now. */
+    /** Refused for now. */
     | { readonly kind: "shed"; readonly reason: ShedReason; readonly retryAfterMs: Millis; }
-    /** No worker of this placer could hold it even when empty. */
+    /** The demand exceeds the capacity of every worker of this placer. */
     | { readonly kind: "neverFits"; readonly largest: Resources; };
 
 export const ShedReason = {
@@ -64,7 +64,7 @@
 } as const;
 export type ShedReason = (typeof ShedReason)[keyof typeof ShedReason];
 
-/** How running work is made to give way, cheapest loss first. */
+/** Steps by which a running task is preempted, the mildest first. */
 export const PreemptionStep = {
     checkpoint: "checkpoint",
     throttle: "throttle",
@@ -72,13 +72,13 @@
 } as const;
 export type PreemptionStep = (typeof PreemptionStep)[keyof typeof PreemptionStep];
 
-/** One decision, in the order in which it is to be carried out. */
+/** A decision; decisions are to be carried out in the order in which they are returned. */
 export type Decision =
     | {
         readonly kind: "start";
         readonly item: WorkItem;
         readonly workerId: string;
-        /** In words, for the log and `explain`. */
+        /** Text for the log and `explain`. */
         readonly reason: string;
         readonly runnersUp: readonly string[];
     }
@@ -87,7 +87,7 @@
         readonly victimId: string;
         readonly workerId: string;
         readonly step: PreemptionStep;
-        /** The urgent item that it makes room for. */
+        /** The item or gang for which resources are freed. */
         readonly forItemId: string;
         readonly reason: string;
     }
@@ -98,61 +98,66 @@
         readonly retryAfterMs: Millis;
     }
     | {
-        /** The branch is in shadow: log what would have been done; the item is dropped from the queue. */
+        /** The branch is in shadow mode: the decision is only logged, and the item has left the queue. */
         readonly kind: "shadow";
         readonly item: WorkItem;
         readonly workerId: string | undefined;
         readonly reason: string;
     };
 
-/** How a running item ended, for learning. */
+/** Outcome of a run, from which run times are estimated. */
 export interface RunSample {
     readonly ranMs: Millis;
     readonly failed: boolean;
-    /** Measured use, if the worker reported any. */
+    /** Measured usage, if the worker reported it. */
     readonly usage?: Resources;
 }
 
-/** What is held for a gang. */
+/** Result of {@link PlacementCore.reserve}. */
 export interface HoldResult {
-    /** How many of the items are held, counted from the first; 0 or more. */
+    /** Number of items held, counted from the first; may be 0. */
     readonly held: number;
-    /** Estimate of when more could be held, in milliseconds from now. */
+    /** Estimated time in milliseconds until more members can be held. */
     readonly moreAfterMs?: Millis;
 }
 
-/** The decisions of one placer. */
+/** The placement decisions of one placer. */
 export interface PlacementCore {
-    /** Takes over a new version of the settings; queued items of branches that went off are shed. */
+    /** Applies new settings; queued items of branches that were removed or turned off are shed. */
     setSettings(settings: SettingsVersion): void;
-    /** Sets how much of each team's quota this placer may use; teams left out have none lent, no entry at all means no limit. */
+    /**
+     * Sets how much of each team's quota this placer may use. A team with a quota that is left out may use
+     * nothing; an empty map means no limits.
+     */
     setTeamShares(shares: ReadonlyMap<string, Resources>): void;
-    /** Adds a worker (closed at first) or updates its capacity and foreign use. */
+    /** Adds a worker, closed for new work, or updates its capacity and foreign use. */
     upsertWorker(worker: WorkerView): void;
-    /** Forgets a worker and everything on it; returns the ids that were on it. */
+    /** Removes a worker and everything on it; returns the ids of those items. */
     removeWorker(workerId: string): readonly string[];
-    /** Opens or closes a worker for new work; what runs there goes on. */
+    /** Opens or closes a worker for new work; running work continues. */
     setWorkerOpen(workerId: string, open: boolean): void;
     enqueue(item: WorkItem, now: Millis): EnqueueResult;
-    /** Takes an item from the queue; returns whether it was there. */
+    /** Removes an item from the queue; returns whether it was queued. */
     withdraw(itemId: string): boolean;
-    /** Books an item that already runs on a worker, even past its capacity (then nothing new fits). */
+    /** Allocates an item that already runs on a worker, even beyond its capacity (then nothing new fits). */
     adopt(workerId: string, item: WorkItem, now: Millis): void;
-    /** Gives back what a started, adopted or held item took; returns whether it was known. */
+    /** Releases what a started, adopted or held item occupies; returns whether it was known. */
     release(itemId: string, now: Millis, sample?: RunSample): boolean;
-    /** Decides all that can be decided now. */
+    /** Makes the decisions that are possible now, up to a limit per call. */
     decide(now: Millis, random: Random): readonly Decision[];
-    /** Instant at which `decide` should run again even if nothing else happens; undefined for never. */
+    /**
+     * @returns Instant at which `decide` should run again even if nothing else happens; undefined for never.
+     */
     getNextDecisionAt(now: Millis): Millis | undefined;
-    /** Holds room for as many of a gang's items as fit now, until `expiresAt`. */
+    /** Holds resources for as many of a gang's items as fit now, until `expiresAt`. */
     reserve(gangId: string, items: readonly WorkItem[], expiresAt: Millis, now: Millis): HoldResult;
-    /** Turns a hold into start decisions for its items; empty if the hold is gone. */
+    /** Turns a hold into start decisions for its items; empty if the hold has expired or was released. */
     commitHold(gangId: string, now: Millis): readonly Decision[];
-    /** Drops a hold. */
+    /** Releases a gang's hold and reservations. */
     releaseHold(gangId: string): void;
     getLoad(): PlacerLoad;
-    /** Worker that an item runs on, or undefined. */
+    /** @returns Id of the worker on which an item runs or is held, or undefined. */
     findWorkerOf(itemId: string): string | undefined;
-    /** Says in words why an item waits here or why it is where it is; empty if unknown. */
+    /** @returns Reasons why an item waits or why it was placed where it is, as text; empty if unknown. */
     explain(itemId: string, now: Millis): readonly string[];
 }
--- a/src/process/placement/policies/gang.ts
+++ b/src/process/placement/policies/gang.ts
@@ -1,15 +1,15 @@
 /**
- * Gang policy: members start together by a hold, so the rank orders only members that run alone; members are
- * packed next to each other.
+ * Gang policy: members start together through a hold, so the rank orders only members that run alone. Members
+ * are packed by best fit.
  */
 import { CapacityKind, type Policy } from "../policy.js";
 import { computeBatchRank, computeFitCost } from "./batch.js";
 
-/** All at once. */
+/** The policy for gangs. */
 export const gangPolicy: Policy = {
     kinds: ["gang"],
     capacity: CapacityKind.room,
-    getLineKey: item => item.team,
+    getFlowKey: item => item.team,
     computeRank: computeBatchRank,
     computeCost: computeFitCost,
 };
--- a/src/process/placement/policies/service.ts
+++ b/src/process/placement/policies/service.ts
@@ -1,11 +1,14 @@
-/** Service policy, waiting first: fair between branches by weight and between callers, least loaded of two. */
+/**
+ * Service policy, which favors short waits: fair between branches by weight and then between callers, on the
+ * less loaded of two sampled workers.
+ */
 import { CapacityKind, type Policy } from "../policy.js";
 
-/** Waiting first. */
+/** The policy for service requests. */
 export const servicePolicy: Policy = {
     kinds: ["service"],
     capacity: CapacityKind.slot,
-    getLineKey: item => item.callerId,
-    computeRank: line => line.startTag,
-    computeCost: (_item, place) => place.inFlight / Math.max(1, place.view.slots),
+    getFlowKey: item => item.callerId,
+    computeRank: flow => flow.startTag,
+    computeCost: (_item, candidate) => candidate.inFlight / Math.max(1, candidate.view.slots),
 };
--- a/src/process/placement/policies/short.ts
+++ b/src/process/placement/policies/short.ts
@@ -1,15 +1,15 @@
-/** Short policy, waiting first: before batch work, fair between callers. */
+/** Policy for short tasks, which favors short waits: ahead of batch work, and fair between callers. */
 import { CapacityKind, type Policy } from "../policy.js";
 import { computeFitCost, URGENT_RANK } from "./batch.js";
 
-/** Rank of short work: after urgent work and before batch work. */
+/** Base rank of short work: after urgent work and before batch work. */
 const SHORT_RANK = -1e9;
 
-/** Waiting first. */
+/** The policy for short tasks. */
 export const shortPolicy: Policy = {
     kinds: ["short", "batch"],
     capacity: CapacityKind.room,
-    getLineKey: item => `${item.team}/${item.callerId}`,
-    computeRank: line => line.urgent ? URGENT_RANK + line.getHeadQueuedAt() : SHORT_RANK + line.startTag,
+    getFlowKey: item => `${item.team}/${item.callerId}`,
+    computeRank: flow => flow.urgent ? URGENT_RANK + flow.getHeadQueuedAt() : SHORT_RANK + flow.startTag,
     computeCost: computeFitCost,
 };
--- a/src/process/placement/policy.ts
+++ b/src/process/placement/policy.ts
@@ -1,10 +1,10 @@
-/** What a policy decides: who is next and which of several fitting workers takes it. */
+/** Interface of a scheduling policy: which waiting item is next, and which fitting worker takes it. */
 import type { WorkKind } from "../../request/work.js";
-import type { Line } from "./line.js";
+import type { Flow } from "./flow.js";
 import type { WorkItem } from "./placement-core.js";
 import type { WorkerRecord } from "./worker-record.js";
 
-/** What the work of a policy takes up. */
+/** Kind of capacity that the items of a policy occupy. */
 export const CapacityKind = {
     /** One slot of a running service. */
     slot: "slot",
@@ -13,35 +13,36 @@
 } as const;
 export type CapacityKind = (typeof CapacityKind)[keyof typeof CapacityKind];
 
-/** A waiting line, as far as a policy may read it. */
-export type LineView = Pick<Line, "branch" | "urgent" | "team" | "startTag" | "getHeadQueuedAt">;
+/** The part of a flow that a policy may read. */
+export type FlowView = Pick<Flow, "branch" | "urgent" | "team" | "startTag" | "getHeadQueuedAt">;
 
-/** A worker, as far as a policy may read it. */
-export type PlaceView = Readonly<
+/** The part of a candidate worker that a policy may read. */
+export type CandidateView = Readonly<
     Pick<WorkerRecord, "view" | "freeCpu" | "freeMemory" | "freeAccelerators" | "inFlight">
 >;
 
-/** How many tasks of the item's branch run where, for policies that spread. */
-export interface SpreadCount {
-    /** @returns Tasks of the item's branch in the same rack or failure domain as the worker. */
-    countNear(item: WorkItem, place: PlaceView): number;
+/** Counts a branch's tasks by location, for policies that spread them. */
+export interface SpreadCounter {
+    /** @returns Number of tasks of the item's branch in the same rack or failure domain as the worker. */
+    countNear(item: WorkItem, candidate: CandidateView): number;
 }
 
 /**
- * One policy. It holds no state of its own: all it needs is passed in, so equal calls give equal decisions.
+ * A scheduling policy. It has no state of its own: everything is passed in, so equal calls give equal
+ * decisions.
  */
 export interface Policy {
-    /** Kinds of work whose branches may name it. */
+    /** Kinds of work whose branches may name this policy. */
     readonly kinds: readonly WorkKind[];
     readonly capacity: CapacityKind;
-    /** @returns Key of the waiting line that an item joins; the items of a line go in order of arrival. */
-    getLineKey(item: WorkItem): string;
+    /** @returns Key of the flow that an item joins; the items of a flow are served in order of arrival. */
+    getFlowKey(item: WorkItem): string;
     /**
-     * Ranks a waiting line against the others; the lowest goes first.
-     * @returns A number that does not depend on the present instant, so that the order stays right as time
-     * passes; it may fall only when the line's team gives resources back.
+     * Ranks a flow against the others; the lowest rank is served first.
+     * @returns A number that does not depend on the current time, so that the order stays valid as time
+     * passes; it may fall only when the flow's team releases resources.
      */
-    computeRank(line: LineView): number;
-    /** Rates a worker that has room for the item; the lowest is chosen. */
-    computeCost(item: WorkItem, place: PlaceView, spread: SpreadCount): number;
+    computeRank(flow: FlowView): number;
+    /** Computes the cost of placing the item on a worker that can take it; the lowest cost is chosen. */
+    computeCost(item: WorkItem, candidate: CandidateView, spread: SpreadCounter): number;
 }
