--- a/src/process/placement/preemption.ts
+++ b/src/process/placement/preemption.ts
@@ -1,45 +1,45 @@
 /**
- * Makes room for urgent work on a full placer: picks the victims whose stop loses least and takes them through
- * checkpoint, throttle and stop, within a budget.
+ * Preemption for urgent work when no worker has enough free capacity: selects the victims that lose the least
+ * work and takes them through checkpoint, throttle and stop, within a budget.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
-import type { Books } from "./books.js";
+import type { AllocationLedger } from "./allocation-ledger.js";
 import { type ItemRecord, ItemState } from "./item-record.js";
 import { type Decision, PreemptionStep } from "./placement-core.js";
 import type { Reservations } from "./reservations.js";
 import type { WorkerRecord } from "./worker-record.js";
 
-/** The steps in order, and how long each may take before the next. Urgent work starts within 3.3 s. */
-const LADDER: readonly { readonly step: PreemptionStep; readonly waitMs: Millis; }[] = [
+/** Steps in order, with the wait before the next one. Urgent work is to start within 3.3 s. */
+const ESCALATION: readonly { readonly step: PreemptionStep; readonly waitMs: Millis; }[] = [
     { step: PreemptionStep.checkpoint, waitMs: 1_200 },
     { step: PreemptionStep.throttle, waitMs: 500 },
     { step: PreemptionStep.stop, waitMs: 1_000 },
 ];
 const SAMPLED_WORKERS = 24;
-/** Time for which room is kept for the urgent task. */
-const KEEP_MS = 10_000;
+/** Lifetime of the reservation for the urgent task. */
+const RESERVATION_MS = 10_000;
 const MINUTE_MS = 60_000;
 
 interface Victim {
     readonly record: ItemRecord;
     readonly worker: WorkerRecord;
     readonly forItemId: string;
-    /** Index of the next step in the ladder. */
-    next: number;
+    /** Index of the next step in {@link ESCALATION}. */
+    nextStep: number;
     nextAt: Millis;
 }
 
-/** Victims under way and the budget. */
+/** Preemptions in progress and their budget. */
 export class Preemption {
     private readonly victims = new Map<string, Victim>();
     private tokens = 0;
     private tokensAt: Millis = 0;
     private perMinute = 0;
 
-    constructor(private readonly books: Books, private readonly reservations: Reservations) {}
+    constructor(private readonly ledger: AllocationLedger, private readonly reservations: Reservations) {}
 
-    /** Sets the budget; a tenth of a minute's budget may be used at once. */
+    /** Sets the number of victims per minute; a tenth of it, at least one, may be used at once. */
     setBudget(perMinute: number): void {
         if (this.perMinute === 0) {
             this.tokens = computeBurst(perMinute);
@@ -47,12 +47,12 @@
         this.perMinute = perMinute;
     }
 
-    /** Chooses victims for an urgent task and keeps their room for it; returns whether any were found. */
+    /** Selects victims for an urgent task and reserves their worker for it; returns whether it did. */
     plan(record: ItemRecord, now: Millis, random: Random): boolean {
         this.refreshBudget(now);
         let best: { readonly worker: WorkerRecord; readonly victims: readonly ItemRecord[]; } | undefined;
         let bestLoss = Infinity;
-        const candidates = this.books.listCandidates(record.item.resources);
+        const candidates = this.ledger.listCandidates(record.item.resources);
         for (let step = 0; step < Math.min(SAMPLED_WORKERS, candidates.length); step++) {
             const worker = candidates[random.pickInt(candidates.length)];
             if (worker === undefined || !worker.open || worker.reservation !== undefined) {
@@ -78,55 +78,55 @@
             unit: resources,
             count: 1,
             readyAt: now,
-            expiresAt: now + KEEP_MS,
+            expiresAt: now + RESERVATION_MS,
         };
         this.reservations.add(best.worker, reservation);
         return true;
     }
 
-    /** Makes a backfilled task give way to the reservation that it overran. */
+    /** Starts to preempt a task for an item or gang, unless its preemption is in progress already. */
     add(victim: ItemRecord, worker: WorkerRecord, forItemId: string, now: Millis): void {
         if (!this.victims.has(victim.item.id)) {
-            this.victims.set(victim.item.id, { record: victim, worker, forItemId, next: 0, nextAt: now });
+            this.victims.set(victim.item.id, { record: victim, worker, forItemId, nextStep: 0, nextAt: now });
         }
     }
 
-    /** Emits the steps that are due. */
+    /** Appends decisions for the steps that are due. */
     decide(now: Millis, decisions: Decision[]): void {
         for (const [victimId, victim] of this.victims) {
             if (victim.record.state !== ItemState.running || victim.record.worker !== victim.worker) {
                 this.victims.delete(victimId);
                 continue;
             }
-            const rung = LADDER[victim.next];
-            if (rung === undefined || victim.nextAt > now) {
+            const escalation = ESCALATION[victim.nextStep];
+            if (escalation === undefined || victim.nextAt > now) {
                 continue;
             }
-            victim.next += 1;
-            victim.nextAt = now + rung.waitMs;
+            victim.nextStep += 1;
+            victim.nextAt = now + escalation.waitMs;
             decisions.push({
                 kind: "preempt",
                 victimId,
                 workerId: victim.worker.id,
-                step: rung.step,
+                step: escalation.step,
                 forItemId: victim.forItemId,
                 reason: `least loss: ran ${Math.round(now - victim.record.startedAt)} ms`,
             });
         }
     }
 
-    /** @returns Instant of the next step; undefined for never. */
+    /** @returns Instant of the next step; undefined if there is none. */
     getNextAt(): Millis | undefined {
         let next: Millis | undefined;
         for (const victim of this.victims.values()) {
-            if (victim.next < LADDER.length) {
+            if (victim.nextStep < ESCALATION.length) {
                 next = Math.min(next ?? Infinity, victim.nextAt);
             }
         }
         return next;
     }
 
-    /** @returns The cheapest running tasks that make enough room, or undefined if all together do not. */
+    /** @returns The cheapest running tasks that free enough capacity; undefined if all together do not. */
     private selectVictims(
         worker: WorkerRecord,
         record: ItemRecord,
@@ -173,7 +173,7 @@
     return Math.max(1, perMinute / 10);
 }
 
-/** @returns What a stop would lose: processor time since the start. */
+/** @returns Work lost by stopping a task: its allocated processor time since the start. */
 function computeLoss(task: ItemRecord, now: Millis): number {
     return (now - task.startedAt) * Math.max(1, task.item.resources.cpuMillis);
 }
--- a/src/process/placement/quota-shares.ts
+++ b/src/process/placement/quota-shares.ts
@@ -1,23 +1,25 @@
 /**
- * Shares of team quotas, lent to placers in advance and returned, so that no decision asks another entry.
+ * Shares of team quotas, lent to placers in advance, so that no placement decision has to ask another entry.
  *
- * @remarks One *lender* for each team, the same at every entry by rendezvous hashing over the members of the
- * ownership table, lends the team's whole quota in numbered grants; each replaces the one before.
+ * @remarks Each team has one *lender*, which all entries find by rendezvous hashing over the members of the
+ * ownership table. It lends the team's whole quota in numbered grants; each grant replaces the one before.
  *
- * Wiring, two notes between entries, sent with the digests and only for teams with a quota and use or demand:
- * - Placer to lender: {@link ShareReport}, made by {@link ShareHolder.buildReport}.
- * - Lender to placer: {@link ShareGrant}, made by {@link ShareLender.grant}. The placer gives
- *   {@link ShareHolder.listShares} to `PlacementCore.setTeamShares` after each.
- * - `term` is the revision of the ownership table that made the sender lender. A placer's first report in a new
- *   term drops its grants of earlier ones, so a new lender knows the whole use once all placers of the table
- *   have reported; until then it lends nothing beyond what runs.
- * - A member that left the table is dropped ({@link ShareLender.dropPlacer}) when the new owners of its workers
- *   are ready: from then on they report what runs there.
+ * Two one-way messages travel between entries, with the digests and only for teams with a quota and usage or
+ * demand:
+ * - Placer to lender: {@link ShareReport}, built by {@link ShareHolder.buildReport}.
+ * - Lender to placer: {@link ShareGrant}, built by {@link ShareLender.grant}. After each, the placer passes
+ *   {@link ShareHolder.listShares} to `PlacementCore.setTeamShares`.
  *
- * Why the sum never exceeds the quota: a placer starts tasks only within its highest grant, and a report names
- * that grant and the use at that time. So its use stays within the larger of the reported use, that grant and
- * all later ones, and the lender counts all of that as lent, however long or in which order messages travel.
- * A lost message leaves more counted as lent than is used, never less.
+ * `term` is the revision of the ownership table by which the lender was chosen. A placer's first report in a
+ * new term drops its grants of earlier terms, so a new lender knows the whole usage once all placers of the
+ * table have reported; until then it lends only what is in use. A member that left the table is dropped
+ * ({@link ShareLender.dropPlacer}) when the new owners of its workers are ready, since they then report what
+ * runs there.
+ *
+ * Usage never exceeds the quota: a placer starts tasks only within its latest grant, and a report names that
+ * grant and the usage at that time. Usage therefore stays within the maximum of the reported usage, that
+ * grant and all later ones. The lender counts this maximum as lent, whatever the delay or order of messages.
+ * A lost message leaves more counted as lent than is in use, never less.
  */
 import {
     addResources,
@@ -27,23 +29,23 @@
     type Resources,
 } from "../../common/resources.js";
 
-/** Share of the quota that a placer without demand is lent, so that a small task starts without a message. */
-const SPARE_SHARE = 0.005;
-/** Grants that a placer has not confirmed; beyond it the last one is sent again. */
-const MAX_OPEN = 16;
+/** Share of the quota lent beyond usage and demand, so that a small task starts without a message. */
+const IDLE_SHARE = 0.005;
+/** Maximum number of unconfirmed grants to one placer; at the limit the last one is sent again. */
+const MAX_UNCONFIRMED_GRANTS = 16;
 
-/** What a placer tells the lender of one team. */
+/** A placer's report to the lender of one team. */
 export interface ShareReport {
     readonly team: string;
     readonly placerId: string;
     readonly term: number;
-    /** Rises with each report of one placer; lower ones are ignored. */
+    /** Increases with each report of one placer; reports that arrive out of order are ignored. */
     readonly sequence: number;
-    /** What its running tasks and holds use. */
+    /** Resources that the placer's running and held tasks of the team use. */
     readonly use: Resources;
-    /** What its waiting tasks would use besides. */
+    /** Additional resources that its waiting tasks would use. */
     readonly demand: Resources;
-    /** Number of the grant that it acts by; 0 for none. */
+    /** Number of the grant that the placer applies; 0 for none. */
     readonly grant: number;
 }
 
@@ -52,18 +54,18 @@
     readonly team: string;
     readonly placerId: string;
     readonly term: number;
-    /** Rises with each grant of one term to one placer. */
+    /** Increases with each grant of one term to one placer. */
     readonly number: number;
     readonly amount: Resources;
 }
 
-/** What one placer may be using. */
+/** What is lent to one placer. */
 interface Loan {
     sequence: number;
     /** Number of the last grant. */
     number: number;
-    /** The grant that the placer acts by and all later ones. */
-    open: ShareGrant[];
+    /** The grant that the placer last reported as applied, and all later ones. */
+    unconfirmed: ShareGrant[];
     use: Resources;
     demand: Resources;
 }
@@ -71,11 +73,12 @@
 /** Lends the quota of one team. */
 export class ShareLender {
     private readonly loans = new Map<string, Loan>();
-    private readonly awaited: Set<string>;
+    private readonly unreported: Set<string>;
 
     /**
-     * @param quota - Most that the team may use over the whole cell.
-     * @param placers - Members of the table; nothing is lent until all have reported in this term.
+     * @param quota - Maximum usage of the team in the whole cell.
+     * @param placers - Members of the ownership table; only what is in use is lent until all have reported in
+     * this term.
      */
     constructor(
         readonly team: string,
@@ -83,46 +86,46 @@
         private quota: Resources,
         placers: Iterable<string>,
     ) {
-        this.awaited = new Set(placers);
+        this.unreported = new Set(placers);
     }
 
-    /** Takes over a quota from the settings. A lower one stops new starts; what runs goes on. */
+    /** Applies a quota from the settings. A lower one prevents new starts; running tasks continue. */
     setQuota(quota: Resources): void {
         this.quota = quota;
     }
 
-    /** Takes a report and answers with a grant; undefined for a report of another term. */
+    /** Applies a report and returns a grant in reply; undefined for a report of another term. */
     grant(report: ShareReport): ShareGrant | undefined {
         if (report.term !== this.term) {
             return undefined;
         }
-        this.awaited.delete(report.placerId);
+        this.unreported.delete(report.placerId);
         const loan = this.getLoan(report.placerId);
         if (report.sequence > loan.sequence) {
             loan.sequence = report.sequence;
             loan.use = report.use;
             loan.demand = report.demand;
-            loan.open = loan.open.filter(grant => grant.number >= report.grant);
+            loan.unconfirmed = loan.unconfirmed.filter(grant => grant.number >= report.grant);
         }
-        const last = loan.open.at(-1);
-        if (last !== undefined && loan.open.length >= MAX_OPEN) {
+        const last = loan.unconfirmed.at(-1);
+        if (last !== undefined && loan.unconfirmed.length >= MAX_UNCONFIRMED_GRANTS) {
             return last;
         }
-        const amount = this.awaited.size > 0 ? loan.use : this.computeAmount(report.placerId, loan);
+        const amount = this.unreported.size > 0 ? loan.use : this.computeAmount(report.placerId, loan);
         loan.number += 1;
         const { team, term } = this;
         const grant = { team, placerId: report.placerId, term, number: loan.number, amount };
-        loan.open.push(grant);
+        loan.unconfirmed.push(grant);
         return grant;
     }
 
-    /** Forgets a placer whose workers others have taken over and reported. */
+    /** Forgets a placer whose workers other placers have taken over and reported. */
     dropPlacer(placerId: string): void {
         this.loans.delete(placerId);
-        this.awaited.delete(placerId);
+        this.unreported.delete(placerId);
     }
 
-    /** @returns What all placers together may be using. */
+    /** @returns Upper bound of what all placers together use. */
     sumLent(): Resources {
         let sum = NO_RESOURCES;
         for (const loan of this.loans.values()) {
@@ -133,23 +136,26 @@
 
     private computeAmount(placerId: string, loan: Loan): Resources {
         const others = removeResources(this.sumLent(), computeLent(loan));
-        const left = computeMost(NO_RESOURCES, removeResources(this.quota, others));
-        return computeLeast(left, this.computeWish(placerId, loan));
+        const available = computeMaximum(NO_RESOURCES, removeResources(this.quota, others));
+        return computeMinimum(available, this.computeRequested(placerId, loan));
     }
 
-    /** A placer gets what it asks for, unless others wait too: then its part of what is free, by demand. */
-    private computeWish(placerId: string, loan: Loan): Resources {
+    /**
+     * Computes usage plus demand plus a spare; if others wait too, usage plus a share of the free quota by
+     * demand.
+     */
+    private computeRequested(placerId: string, loan: Loan): Resources {
         let waiting = NO_RESOURCES;
         let used = NO_RESOURCES;
         for (const [id, other] of this.loans) {
             waiting = addResources(waiting, id === placerId ? NO_RESOURCES : other.demand);
             used = addResources(used, other.use);
         }
-        const spare = computeShare(this.quota, SPARE_SHARE);
+        const spare = computeShare(this.quota, IDLE_SHARE);
         if (isWithin(waiting, NO_RESOURCES)) {
             return addResources(addResources(loan.use, loan.demand), spare);
         }
-        const free = computeMost(NO_RESOURCES, removeResources(this.quota, used));
+        const free = computeMaximum(NO_RESOURCES, removeResources(this.quota, used));
         const computeDimension = (dimension: keyof Resources) => {
             const all = waiting[dimension] + loan.demand[dimension];
             const part = all > 0 ? Math.floor(free[dimension] * loan.demand[dimension] / all) : 0;
@@ -165,14 +171,14 @@
     private getLoan(placerId: string): Loan {
         let loan = this.loans.get(placerId);
         if (loan === undefined) {
-            loan = { sequence: -1, number: 0, open: [], use: NO_RESOURCES, demand: NO_RESOURCES };
+            loan = { sequence: -1, number: 0, unconfirmed: [], use: NO_RESOURCES, demand: NO_RESOURCES };
             this.loans.set(placerId, loan);
         }
         return loan;
     }
 }
 
-/** Keeps the grants of one placer. */
+/** Grants that one placer holds, by team. */
 export class ShareHolder {
     private readonly grants = new Map<string, ShareGrant>();
     private readonly terms = new Map<string, number>();
@@ -180,7 +186,9 @@
 
     constructor(private readonly placerId: string) {}
 
-    /** Builds the report for a team's lender; the first one in a new term drops the grants of earlier terms. */
+    /**
+     * Builds a report to a team's lender; the first report of a new term drops the grants of earlier terms.
+     */
     buildReport(team: string, term: number, use: Resources, demand: Resources): ShareReport {
         if (term > (this.terms.get(team) ?? -1)) {
             this.terms.set(team, term);
@@ -191,7 +199,7 @@
         return { team, placerId: this.placerId, term, sequence: this.sequence, use, demand, grant };
     }
 
-    /** Takes over a grant unless a later one, or a later term, came before it. */
+    /** Accepts a grant unless it belongs to another term or a later grant has already been accepted. */
     accept(grant: ShareGrant): void {
         const known = this.grants.get(grant.team)?.number ?? 0;
         if (grant.term === this.terms.get(grant.team) && grant.number > known) {
@@ -206,7 +214,7 @@
 }
 
 function computeLent(loan: Loan): Resources {
-    return loan.open.reduce((lent, grant) => computeMost(lent, grant.amount), loan.use);
+    return loan.unconfirmed.reduce((lent, grant) => computeMaximum(lent, grant.amount), loan.use);
 }
 
 function computeShare(amount: Resources, share: number): Resources {
@@ -217,7 +225,7 @@
     };
 }
 
-function computeLeast(left: Resources, right: Resources): Resources {
+function computeMinimum(left: Resources, right: Resources): Resources {
     return {
         cpuMillis: Math.min(left.cpuMillis, right.cpuMillis),
         memoryMib: Math.min(left.memoryMib, right.memoryMib),
@@ -225,7 +233,7 @@
     };
 }
 
-function computeMost(left: Resources, right: Resources): Resources {
+function computeMaximum(left: Resources, right: Resources): Resources {
     return {
         cpuMillis: Math.max(left.cpuMillis, right.cpuMillis),
         memoryMib: Math.max(left.memoryMib, right.memoryMib),
--- a/src/process/placement/learning.ts
+++ b/src/process/placement/run-time-estimator.ts
@@ -1,36 +1,36 @@
 /**
- * What was seen of run times and sizes, by branch and team.
+ * Run-time statistics by branch and team, used to correct declared run times.
  *
- * @remarks Used for ordering and prediction only: capacity is handed out by declaration alone. The correction
- * is bounded, so declarations or reports that are off by more change nothing further.
+ * @remarks Estimates serve only for ordering and prediction; capacity is allocated by declaration alone. The
+ * correction factor is bounded, so declarations or reports that are off by more have no further effect.
  */
 import type { Millis } from "../../common/clock.js";
 import type { RunSample, WorkItem } from "./placement-core.js";
 
-/** Bound of the correction, in both directions. */
+/** Bound of the correction factor, in both directions. */
 const MAX_CORRECTION = 10;
-/** Weight of a new sample. */
+/** Minimum weight of a new sample in the moving means. */
 const SAMPLE_WEIGHT = 0.1;
-/** Samples before a team's own record counts. */
-const MIN_SAMPLES = 5;
-/** Records kept; beyond it the branch's record serves. */
-const MAX_RECORDS = 20_000;
+/** Number of samples from which a team's own statistics are used. */
+const MIN_TEAM_SAMPLES = 5;
+/** Maximum number of statistics kept; teams beyond it use those of their branch. */
+const MAX_STATS = 20_000;
 
-interface RunRecord {
+interface RunStats {
     samples: number;
-    /** Mean and mean square deviation of the logarithm of actual over declared run time. */
+    /** Moving mean and variance of the logarithm of actual over declared run time. */
     logMean: number;
     logVariance: number;
     meanMs: Millis;
-    /** Mean share of the declared processors that was used. */
+    /** Moving mean of the used share of the declared processors. */
     usedShare: number;
 }
 
-/** Learns from ended items. */
-export class Learning {
-    private readonly records = new Map<string, RunRecord>();
+/** Estimates run times from the runs observed at this placer. */
+export class RunTimeEstimator {
+    private readonly records = new Map<string, RunStats>();
 
-    /** Takes in how an item ended. Failed runs are left out: they end early and would teach short times. */
+    /** Adds a finished run. Failed runs end early and would lower the estimates, so they are ignored. */
     observe(item: WorkItem, sample: RunSample): void {
         if (sample.failed || sample.ranMs < 0) {
             return;
@@ -41,27 +41,27 @@
         }
     }
 
-    /** @returns The expected run time, the declared one corrected by what was seen. */
+    /** @returns The expected run time: the declared one, corrected by observed runs. */
     estimateRun(item: WorkItem): Millis {
         const record = this.find(item);
         return record === undefined ? item.estimateMs : item.estimateMs * computeFactor(record.logMean);
     }
 
-    /** @returns A run time that few runs exceed, for backfill in front of a reserved start. */
+    /** @returns A run time that few runs exceed (two standard deviations), for backfill decisions. */
     estimateLongRun(item: WorkItem): Millis {
         const record = this.find(item);
         if (record === undefined) {
-            return item.estimateMs * UNSEEN_SAFETY;
+            return item.estimateMs * UNSAMPLED_SAFETY_FACTOR;
         }
         return item.estimateMs * computeFactor(record.logMean + 2 * Math.sqrt(record.logVariance));
     }
 
-    /** @returns The mean run time of a branch, or undefined before the first sample. */
+    /** @returns The mean run time of a branch in milliseconds, or undefined before the first sample. */
     getMeanRun(branch: string): Millis | undefined {
         return this.records.get(branch)?.meanMs;
     }
 
-    /** @returns What was learned of a branch, in words; empty before the first sample. */
+    /** @returns The statistics of a branch as text; empty before the first sample. */
     describe(branch: string): readonly string[] {
         const record = this.records.get(branch);
         if (record === undefined) {
@@ -74,9 +74,9 @@
         ];
     }
 
-    private find(item: WorkItem): RunRecord | undefined {
+    private find(item: WorkItem): RunStats | undefined {
         const own = this.records.get(`${item.branch}|${item.team}`);
-        return own !== undefined && own.samples >= MIN_SAMPLES ? own : this.records.get(item.branch);
+        return own !== undefined && own.samples >= MIN_TEAM_SAMPLES ? own : this.records.get(item.branch);
     }
 
     private update(key: string, item: WorkItem, sample: RunSample): void {
@@ -87,7 +87,7 @@
             sample.usage.cpuMillis / item.resources.cpuMillis;
         const record = this.records.get(key);
         if (record === undefined) {
-            if (this.records.size < MAX_RECORDS) {
+            if (this.records.size < MAX_STATS) {
                 const first = { samples: 1, logMean: log, logVariance: 0, meanMs: sample.ranMs, usedShare };
                 this.records.set(key, first);
             }
@@ -103,8 +103,8 @@
     }
 }
 
-/** Factor on a declared run time before anything was seen. */
-const UNSEEN_SAFETY = 2;
+/** Factor on a declared run time before any run was observed. */
+const UNSAMPLED_SAFETY_FACTOR = 2;
 
 function computeBounded(ratio: number): number {
     return Math.min(MAX_CORRECTION, Math.max(1 / MAX_CORRECTION, ratio));
--- a/src/process/placement/slot-pool.ts
+++ b/src/process/placement/slot-pool.ts
@@ -1,24 +1,24 @@
-/** Workers that may take one more service request of a branch; sampling costs constant time. */
+/** Workers that can take one more service request of a branch; sampling takes constant time. */
 import type { Random } from "../../common/random.js";
 import type { BranchSettings } from "../../version/settings.js";
 import type { WorkItem } from "./placement-core.js";
-import type { Policy, SpreadCount } from "./policy.js";
+import type { Policy, SpreadCounter } from "./policy.js";
 import type { WorkerRecord } from "./worker-record.js";
 
-/** Tries to sample a worker that is not to be avoided before all are gone through. */
-const SAMPLE_TRIES = 4;
+/** Attempts to sample a worker that is not to be avoided, before all workers are scanned. */
+const SAMPLE_ATTEMPTS = 4;
 
-/** The workers with room for a branch. */
+/** The workers with a free slot for a branch. */
 export class SlotPool {
     private readonly members: WorkerRecord[] = [];
     private readonly positions = new Map<WorkerRecord, number>();
 
     constructor(private readonly branch: BranchSettings) {}
 
-    /** Takes a worker in or out by its present state; returns whether it is in. */
+    /** Adds or removes a worker by its current state; returns whether it is in the pool. */
     update(worker: WorkerRecord): boolean {
         const position = this.positions.get(worker);
-        const fits = this.hasRoom(worker);
+        const fits = this.hasFreeSlot(worker);
         if (fits && position === undefined) {
             this.positions.set(worker, this.members.length);
             this.members.push(worker);
@@ -29,8 +29,8 @@
         return fits;
     }
 
-    /** @returns The less loaded of two random workers, none to be avoided if others can take it. */
-    choose(item: WorkItem, policy: Policy, spread: SpreadCount, random: Random): WorkerRecord | undefined {
+    /** @returns The cheaper of two random workers; workers to avoid only if no other has a free slot. */
+    choose(item: WorkItem, policy: Policy, spread: SpreadCounter, random: Random): WorkerRecord | undefined {
         const left = this.sample(item, random);
         const right = this.sample(item, random);
         if (left === undefined || right === undefined || left === right) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Tells whether so many slots are free; each worker in the pool has at least one, so few are looked at.
-     * @param wanted - Slots.
+     * Tells whether at least `wanted` slots are free. Each worker in the pool has one or more, so at most
+     * `wanted` workers are visited.
      */
     hasFree(wanted: number): boolean {
         let free = 0;
@@ -56,7 +56,7 @@
         return free >= wanted;
     }
 
-    private hasRoom(worker: WorkerRecord): boolean {
+    private hasFreeSlot(worker: WorkerRecord): boolean {
         return this.countFree(worker) > 0;
     }
 
@@ -70,7 +70,7 @@
         if (this.members.length === 0) {
             return undefined;
         }
-        for (let step = 0; step < SAMPLE_TRIES; step++) {
+        for (let step = 0; step < SAMPLE_ATTEMPTS; step++) {
             const worker = this.members[random.pickInt(this.members.length)];
             if (worker !== undefined && !item.avoid.includes(worker.id)) {
                 return worker;
--- a/src/process/placement/slot-queue.ts
+++ b/src/process/placement/slot-queue.ts
@@ -1,93 +1,93 @@
-/** Waiting service requests of one branch: a line for each caller, and how fast the branch is served. */
+/** Waiting service requests of one branch: a flow per caller, and the rate at which requests start. */
 import type { Millis } from "../../common/clock.js";
 import type { BranchSettings } from "../../version/settings.js";
-import { Line, LineHeap, type LineOwner } from "./line.js";
+import { Flow, FlowHeap, type FlowOwner } from "./flow.js";
 import type { Policy } from "./policy.js";
 import { SlotPool } from "./slot-pool.js";
-import type { TeamAccount } from "./team-book.js";
+import type { TeamUsage } from "./team-registry.js";
 
-/** Time over which the rate of starts is averaged. */
+/** Time constant of the exponential average of the start rate. */
 const RATE_WINDOW_MS = 2_000;
-/** Empty lines kept for their tags before they are swept. */
-const IDLE_LINES = 1_024;
+/** Flows kept for their tags, beyond twice the active ones, before empty ones are swept. */
+const IDLE_FLOW_ALLOWANCE = 1_024;
 
-/** The queue of one service branch. Callers are served by start-time fair queueing, equally. */
-export class SlotQueue implements LineOwner {
-    readonly lines = new Map<string, Line>();
+/** The queue of one service branch. Callers are served by start-time fair queueing with equal weights. */
+export class SlotQueue implements FlowOwner {
+    readonly flows = new Map<string, Flow>();
     readonly pool: SlotPool;
     size = 0;
-    /** Lines with waiting requests. */
-    activeLines = 0;
-    /** Tags of the branch among the service branches. */
+    /** Number of flows with waiting requests. */
+    activeFlows = 0;
+    /** Fair-queueing tags of this branch among the service branches. */
     startTag = 0;
     finishTag = 0;
-    /** Start tag of the last caller served. */
+    /** Start tag of the flow served last. */
     virtualTime = 0;
-    private readonly heap = new LineHeap();
-    private startedRecently = 0;
-    private countedAt: Millis = 0;
+    private readonly heap = new FlowHeap();
+    private decayedStarts = 0;
+    private decayedAt: Millis = 0;
 
     constructor(readonly branch: BranchSettings, readonly policy: Policy) {
         this.pool = new SlotPool(branch);
     }
 
-    refresh(line: Line): void {
-        if (line.length > 0) {
-            this.heap.push(line);
+    refresh(flow: Flow): void {
+        if (flow.length > 0) {
+            this.heap.push(flow);
         }
     }
 
-    /** @returns The line of a caller, made if needed. */
-    getLine(key: string, team: TeamAccount): Line {
-        let line = this.lines.get(key);
-        if (line === undefined) {
-            if (this.lines.size > IDLE_LINES + 2 * this.activeLines) {
-                this.sweepLines();
+    /** @returns A caller's flow, created if needed. */
+    getFlow(key: string, team: TeamUsage): Flow {
+        let flow = this.flows.get(key);
+        if (flow === undefined) {
+            if (this.flows.size > IDLE_FLOW_ALLOWANCE + 2 * this.activeFlows) {
+                this.sweepFlows();
             }
-            line = new Line(key, this.branch, this.policy, false, team, this);
-            this.lines.set(key, line);
+            flow = new Flow(key, this.branch, this.policy, false, team, this);
+            this.flows.set(key, flow);
         }
-        return line;
+        return flow;
     }
 
-    /** Notes that a line got its first request. */
-    openLine(line: Line): void {
-        line.startTag = Math.max(this.virtualTime, line.finishTag);
-        this.activeLines += 1;
-        this.heap.push(line);
+    /** Activates a flow that got its first request. */
+    openFlow(flow: Flow): void {
+        flow.startTag = Math.max(this.virtualTime, flow.finishTag);
+        this.activeFlows += 1;
+        this.heap.push(flow);
     }
 
-    /** Notes that a line lost its last request. */
-    closeLine(line: Line): void {
-        this.activeLines -= 1;
-        this.heap.remove(line);
+    /** Deactivates a flow that lost its last request. */
+    closeFlow(flow: Flow): void {
+        this.activeFlows -= 1;
+        this.heap.remove(flow);
     }
 
-    /** @returns The line that is next. */
-    peek(): Line | undefined {
+    /** @returns The flow to serve next, or undefined. */
+    peek(): Flow | undefined {
         return this.heap.peek();
     }
 
-    /** Counts a start. */
+    /** Adds a start to the start rate. */
     recordStart(now: Millis): void {
-        this.startedRecently = this.computeDecayed(now) + 1;
-        this.countedAt = now;
+        this.decayedStarts = this.computeDecayed(now) + 1;
+        this.decayedAt = now;
     }
 
-    /** @returns Starts a millisecond, averaged over the last seconds. */
+    /** @returns Starts per millisecond, averaged over about {@link RATE_WINDOW_MS}. */
     getStartRate(now: Millis): number {
         return this.computeDecayed(now) / RATE_WINDOW_MS;
     }
 
     private computeDecayed(now: Millis): number {
-        return this.startedRecently * Math.exp(-Math.max(0, now - this.countedAt) / RATE_WINDOW_MS);
+        return this.decayedStarts * Math.exp(-Math.max(0, now - this.decayedAt) / RATE_WINDOW_MS);
     }
 
-    /** Drops empty lines whose tags no longer matter: a new line would get the same. */
-    private sweepLines(): void {
-        for (const [key, line] of this.lines) {
-            if (line.length === 0 && line.finishTag <= this.virtualTime) {
-                this.lines.delete(key);
+    /** Drops empty flows whose tags no longer matter, because a new flow would get the same start tag. */
+    private sweepFlows(): void {
+        for (const [key, flow] of this.flows) {
+            if (flow.length === 0 && flow.finishTag <= this.virtualTime) {
+                this.flows.delete(key);
             }
         }
     }
--- a/src/process/placement/slot-scheduler.ts
+++ b/src/process/placement/slot-scheduler.ts
@@ -1,13 +1,13 @@
 /**
- * Starts service requests: fair between branches by weight, then between callers; sheds at once what cannot
- * be served in time.
+ * Starts service requests: fair between branches by weight, then between callers. Estimates waits, by which
+ * requests that cannot be served in time are shed at once.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import { Adoption, type BranchSettings } from "../../version/settings.js";
-import type { SlotListener } from "./books.js";
+import type { SlotListener } from "./allocation-ledger.js";
+import type { Flow } from "./flow.js";
 import type { ItemRecord } from "./item-record.js";
-import type { Line } from "./line.js";
 import type { Decision } from "./placement-core.js";
 import type { Policy } from "./policy.js";
 import type { Scheduler, SchedulerContext } from "./scheduler.js";
@@ -15,19 +15,19 @@
 import type { WorkerRecord } from "./worker-record.js";
 
 const MIN_WEIGHT = 0.001;
-/** Share of a usual run that must be left before the deadline for a start to be worthwhile. */
-const USEFUL_SHARE = 0.5;
+/** Share of the mean run time that must be left before the deadline for a start to be useful. */
+const MIN_USEFUL_RUN_SHARE = 0.5;
 
-/** Service requests that wait for a slot. */
+/** Schedules service requests that wait for a slot. */
 export class SlotScheduler implements Scheduler, SlotListener {
     private readonly queues = new Map<string, SlotQueue>();
-    /** Start tag of the last branch served. */
+    /** Start tag of the branch served last. */
     private virtualTime = 0;
     private totalSlots = 0;
-    private readonly slotsCounted = new Map<string, number>();
+    private readonly countedSlots = new Map<string, number>();
 
     constructor(private readonly context: SchedulerContext) {
-        context.books.subscribeSlots(this);
+        context.ledger.subscribeSlots(this);
     }
 
     enqueue(record: ItemRecord, policy: Policy): void {
@@ -35,55 +35,55 @@
             return;
         }
         const queue = this.getQueue(record.branch, policy);
-        const line = queue.getLine(
-            policy.getLineKey(record.item),
-            this.context.books.teams.get(record.item.team),
+        const flow = queue.getFlow(
+            policy.getFlowKey(record.item),
+            this.context.ledger.teams.get(record.item.team),
         );
         if (queue.size === 0) {
             queue.startTag = Math.max(this.virtualTime, queue.finishTag);
         }
-        this.context.waiting.push(line, record);
+        this.context.waiting.push(flow, record);
         queue.size += 1;
-        if (line.length === 1) {
-            queue.openLine(line);
+        if (flow.length === 1) {
+            queue.openFlow(flow);
         }
     }
 
     remove(record: ItemRecord): void {
-        const { line } = record;
-        const queue = line?.queue;
-        if (line === undefined || !(queue instanceof SlotQueue)) {
+        const { flow } = record;
+        const queue = flow?.queue;
+        if (flow === undefined || !(queue instanceof SlotQueue)) {
             return;
         }
-        this.context.waiting.remove(line, record);
+        this.context.waiting.remove(flow, record);
         queue.size -= 1;
-        if (line.length === 0) {
-            queue.closeLine(line);
+        if (flow.length === 0) {
+            queue.closeFlow(flow);
         }
     }
 
-    decide(now: Millis, random: Random, decisions: Decision[], most: number): void {
+    decide(now: Millis, random: Random, decisions: Decision[], maxDecisions: number): void {
         const full = new Set<SlotQueue>();
-        while (decisions.length < most) {
+        while (decisions.length < maxDecisions) {
             const queue = this.pickQueue(full);
-            const line = queue?.peek();
-            const record = line?.head;
-            if (queue === undefined || line === undefined || record === undefined) {
+            const flow = queue?.peek();
+            const record = flow?.head;
+            if (queue === undefined || flow === undefined || record === undefined) {
                 return;
             }
-            const { books } = this.context;
-            const worker = queue.pool.choose(record.item, queue.policy, books, random);
+            const { ledger } = this.context;
+            const worker = queue.pool.choose(record.item, queue.policy, ledger, random);
             if (worker === undefined) {
                 full.add(queue);
                 continue;
             }
-            this.start(queue, line, record, worker, now, decisions);
+            this.start(queue, flow, record, worker, now, decisions);
         }
     }
 
     /**
-     * Estimates how long the newest request of a caller waits for a slot.
-     * @param ahead - Requests of the same caller before it.
+     * Estimates how long the newest request of a caller will wait for a slot.
+     * @param ahead - Number of requests of the same caller before it.
      * @returns Milliseconds; 0 while slots are free.
      */
     estimateWait(branch: BranchSettings, ahead: number, now: Millis): Millis {
@@ -91,9 +91,10 @@
         if (queue === undefined || queue.size === 0) {
             return 0;
         }
-        // Fair service between callers: every other line gets at most as many starts as this one.
-        const before = Math.min(queue.size, (ahead + 1) * queue.activeLines);
-        // What waits takes the free slots at the next decisions; before a run time is learnt the rate says nothing.
+        // Fair service between callers: every other flow gets at most as many starts as this one.
+        const before = Math.min(queue.size, (ahead + 1) * queue.activeFlows);
+        // Waiting requests take the free slots at the next decisions; the rate is meaningless before a run
+        // time is known.
         if (queue.pool.hasFree(before)) {
             return 0;
         }
@@ -101,47 +102,47 @@
         return rate > 0 ? before / rate : branch.maxWaitMs;
     }
 
-    /** @returns Requests of the same caller that wait. */
+    /** @returns Number of waiting requests of the same caller. */
     countAhead(record: ItemRecord, policy: Policy): number {
-        return this.queues.get(record.item.branch)?.lines.get(policy.getLineKey(record.item))?.length ?? 0;
+        return this.queues.get(record.item.branch)?.flows.get(policy.getFlowKey(record.item))?.length ?? 0;
     }
 
-    /** @returns Latest instant at which a start is worthwhile. */
+    /** @returns Latest instant at which starting the request is still useful. */
     computeLastStart(record: ItemRecord): Millis {
         const { item, branch } = record;
         const byWait = item.queuedAt + (branch?.maxWaitMs ?? 0);
         if (item.deadline === undefined) {
             return byWait;
         }
-        const run = this.context.learning.getMeanRun(item.branch) ?? 0;
-        return Math.min(byWait, item.deadline - USEFUL_SHARE * run);
+        const run = this.context.estimator.getMeanRun(item.branch) ?? 0;
+        return Math.min(byWait, item.deadline - MIN_USEFUL_RUN_SHARE * run);
     }
 
-    /** Drops the queue of a branch whose settings changed; it must be empty. */
+    /** Removes the queue of a branch whose settings changed; the queue must be empty. */
     removeQueue(branch: string): void {
         this.queues.delete(branch);
     }
 
     explain(record: ItemRecord, now: Millis): readonly string[] {
-        const { branch, line } = record;
-        if (branch === undefined || line === undefined) {
+        const { branch, flow } = record;
+        if (branch === undefined || flow === undefined) {
             return [];
         }
-        const wait = Math.round(this.estimateWait(branch, line.length - 1, now));
+        const wait = Math.round(this.estimateWait(branch, flow.length - 1, now));
         return [
             `all slots that ${branch.path} may use at this placer are taken`,
-            `${line.length} requests of its caller wait; a new one would wait about ${wait} ms`,
+            `${flow.length} requests of its caller wait; a new one would wait about ${wait} ms`,
         ];
     }
 
     handleSlots(worker: WorkerRecord): void {
         const slots = worker.open ? worker.getSlotCeiling() : 0;
-        this.totalSlots += slots - (this.slotsCounted.get(worker.id) ?? 0);
+        this.totalSlots += slots - (this.countedSlots.get(worker.id) ?? 0);
         if (slots === 0) {
-            this.slotsCounted.delete(worker.id);
+            this.countedSlots.delete(worker.id);
         }
         else {
-            this.slotsCounted.set(worker.id, slots);
+            this.countedSlots.set(worker.id, slots);
         }
         for (const queue of this.queues.values()) {
             queue.pool.update(worker);
@@ -153,7 +154,7 @@
         if (queue === undefined) {
             queue = new SlotQueue(branch, policy);
             this.queues.set(branch.path, queue);
-            for (const worker of this.context.books.workers.values()) {
+            for (const worker of this.context.ledger.workers.values()) {
                 queue.pool.update(worker);
             }
         }
@@ -174,7 +175,7 @@
 
     private start(
         queue: SlotQueue,
-        line: Line,
+        flow: Flow,
         record: ItemRecord,
         worker: WorkerRecord,
         now: Millis,
@@ -182,31 +183,31 @@
     ): void {
         const run = Math.max(
             1,
-            this.context.learning.getMeanRun(queue.branch.path) ?? record.item.estimateMs,
+            this.context.estimator.getMeanRun(queue.branch.path) ?? record.item.estimateMs,
         );
-        queue.virtualTime = Math.max(queue.virtualTime, line.startTag);
-        line.finishTag = line.startTag + run;
-        line.startTag = line.finishTag;
+        queue.virtualTime = Math.max(queue.virtualTime, flow.startTag);
+        flow.finishTag = flow.startTag + run;
+        flow.startTag = flow.finishTag;
         this.remove(record);
-        queue.refresh(line);
+        queue.refresh(flow);
         const { item } = record;
         const reason =
             `${queue.branch.policy}: ${worker.inFlight} of ${worker.getSlotCeiling()} slots in use`;
         if (queue.branch.adoption === Adoption.shadow) {
-            this.context.books.records.delete(item.id);
+            this.context.ledger.records.delete(item.id);
             decisions.push({ kind: "shadow", item, workerId: worker.id, reason });
             return;
         }
         this.recordCharge(queue, run);
         queue.recordStart(now);
         record.reason = reason;
-        this.context.books.place(record, worker, "running", now);
+        this.context.ledger.place(record, worker, "running", now);
         decisions.push({ kind: "start", item, workerId: worker.id, reason, runnersUp: [] });
     }
 
     /**
-     * Charges the branch the mean run time. A correction by the true time of each run was tried and left out:
-     * runs of seconds moved the tags back and forth by hundreds of short requests, which then waited.
+     * Charges the branch for the mean run time. Tags are not corrected by the actual time of each run: runs
+     * of seconds would move them back and forth by hundreds of short requests, which then have to wait.
      */
     private recordCharge(queue: SlotQueue, run: Millis): void {
         const charge = run / Math.max(queue.branch.weight, MIN_WEIGHT);
@@ -215,9 +216,9 @@
         queue.startTag = queue.finishTag;
     }
 
-    /** @returns Starts a millisecond that the branch gets if all others that wait take their shares. */
+    /** @returns Starts per millisecond of a branch if all branches with waiting requests use their shares. */
     private computeFairRate(queue: SlotQueue): number {
-        const run = this.context.learning.getMeanRun(queue.branch.path) ?? queue.branch.defaultEstimateMs;
+        const run = this.context.estimator.getMeanRun(queue.branch.path) ?? queue.branch.defaultEstimateMs;
         let weights = 0;
         for (const other of this.queues.values()) {
             weights += other.size > 0 ? other.branch.weight : 0;
--- a/src/process/placement/worker-record.ts
+++ b/src/process/placement/worker-record.ts
@@ -1,27 +1,27 @@
-/** One worker as the placement core books it: what it has, what is taken, and what is kept back on it. */
+/** Allocation state of one worker: capacity, what is allocated, and what is reserved on it. */
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
 import type { ItemRecord } from "./item-record.js";
 import type { WorkerView } from "./placement-core.js";
 
-/** Room kept back on a worker for one waiting task or gang. */
+/** Capacity reserved on a worker for one waiting task or gang. */
 export interface Reservation {
-    /** Item id or gang id. */
+    /** Id of the item or gang that holds the reservation. */
     readonly ownerId: string;
-    /** What one member of the owner takes; the whole need of a task. */
+    /** Resource demand of one member of a gang, or of the task. */
     readonly unit: Resources;
-    /** Members that may start here at most; 1 for a task. */
+    /** Maximum number of members that may start here; 1 for a task. */
     readonly count: number;
-    /** Instant at which, by the corrected estimates, the room will be free. */
+    /** Instant at which the reserved capacity is expected to be free, by the corrected run-time estimates. */
     readonly readyAt: Millis;
     /** Instant after which the reservation lapses. */
     readonly expiresAt: Millis;
 }
 
-/** Slot limit below which adaptive concurrency never goes. */
+/** Lower bound of the adaptive slot limit. */
 const MIN_SLOT_LIMIT = 1;
 
-/** A worker and everything booked on it. Sums are whole numbers, so taking and giving back are exact. */
+/** A worker and everything allocated on it. Sums are integers, so allocating and releasing are exact. */
 export class WorkerRecord {
     view: WorkerView;
     open = false;
@@ -32,27 +32,26 @@
     inFlight = 0;
     /** Service requests in flight by branch. */
     readonly inFlightByBranch = new Map<string, number>();
-    /** Tasks and holds booked here. */
+    /** Tasks that run or are held for a gang on this worker, by item id. */
     readonly tasks = new Map<string, ItemRecord>();
-    /** Service requests booked here. */
+    /** Service requests in flight on this worker, by item id. */
     readonly requests = new Map<string, ItemRecord>();
     reservation: Reservation | undefined;
-    /** Whether room is left beside idle accelerators, because work for them was seen lately. */
-    keepsRoom = false;
-    /** Adaptive limit of service requests; at most the worker's own slots. */
+    /** Whether headroom is kept beside idle accelerators, because tasks that need them arrived recently. */
+    keepsHeadroom = false;
+    /** Adaptive limit of concurrent service requests; at most the worker's own slots. */
     slotLimit: number;
-    /** Mean ratio of the duration of service requests here to their branch's mean. */
-    slowness = 1;
-    /** Place in the room index; -1 when not in it. */
-    cell = -1;
-    positionInCell = -1;
+    /** Moving mean of the ratio of a service request's run time here to its branch's mean run time. */
+    latencyRatio = 1;
+    /** Bucket in the capacity index; -1 when not in it. */
+    bucket = -1;
+    positionInBucket = -1;
 
     constructor(view: WorkerView) {
         this.view = view;
         this.slotLimit = view.slots;
     }
 
-    /** @returns The worker's id. */
     get id(): string {
         return this.view.workerId;
     }
@@ -69,46 +68,46 @@
         return this.view.capacity.accelerators - this.view.foreignUse.accelerators - this.usedAccelerators;
     }
 
-    /** @returns Service requests that it may have in flight now. */
+    /** @returns Maximum number of service requests that may be in flight now. */
     getSlotCeiling(): number {
         const slots = Math.min(this.view.slots, this.view.maxConnections);
         return Math.min(slots, Math.max(MIN_SLOT_LIMIT, Math.floor(this.slotLimit)));
     }
 
-    /** @returns Whether the need fits into what is free, in every dimension. */
-    hasRoom(need: Resources): boolean {
-        return need.cpuMillis <= this.freeCpu &&
-            need.memoryMib <= this.freeMemory &&
-            need.accelerators <= this.freeAccelerators;
+    /** @returns Whether the demand fits into the free capacity in every dimension. */
+    hasCapacity(demand: Resources): boolean {
+        return demand.cpuMillis <= this.freeCpu &&
+            demand.memoryMib <= this.freeMemory &&
+            demand.accelerators <= this.freeAccelerators;
     }
 
-    /** @returns Whether the need would fit on the empty worker. */
-    canHold(need: Resources): boolean {
+    /** @returns Whether the demand would fit if nothing were allocated here. */
+    canHold(demand: Resources): boolean {
         const { capacity, foreignUse } = this.view;
-        return need.cpuMillis <= capacity.cpuMillis - foreignUse.cpuMillis &&
-            need.memoryMib <= capacity.memoryMib - foreignUse.memoryMib &&
-            need.accelerators <= capacity.accelerators - foreignUse.accelerators;
+        return demand.cpuMillis <= capacity.cpuMillis - foreignUse.cpuMillis &&
+            demand.memoryMib <= capacity.memoryMib - foreignUse.memoryMib &&
+            demand.accelerators <= capacity.accelerators - foreignUse.accelerators;
     }
 
     /**
-     * Tells whether a task may go here as ordinary work, that is without a reservation of its own.
-     * @remarks On a worker with accelerators, work that needs none leaves half of the processors and memory
-     * that belong to each free accelerator, so that accelerator work still finds room.
+     * Tells whether a task may start here without a reservation of its own.
+     * @remarks On a worker with accelerators, tasks that need none must leave half of the processors and
+     * memory that go with each free accelerator, so that accelerator tasks still fit.
      */
-    mayTake(need: Resources): boolean {
-        if (!this.hasRoom(need)) {
+    mayTake(demand: Resources): boolean {
+        if (!this.hasCapacity(demand)) {
             return false;
         }
         const { capacity } = this.view;
-        if (!this.keepsRoom || need.accelerators > 0 || capacity.accelerators === 0) {
+        if (!this.keepsHeadroom || demand.accelerators > 0 || capacity.accelerators === 0) {
             return true;
         }
-        const kept = KEPT_SHARE * Math.max(0, this.freeAccelerators) / capacity.accelerators;
-        return this.freeCpu - need.cpuMillis >= kept * capacity.cpuMillis &&
-            this.freeMemory - need.memoryMib >= kept * capacity.memoryMib;
+        const kept = HEADROOM_SHARE * Math.max(0, this.freeAccelerators) / capacity.accelerators;
+        return this.freeCpu - demand.cpuMillis >= kept * capacity.cpuMillis &&
+            this.freeMemory - demand.memoryMib >= kept * capacity.memoryMib;
     }
 
-    /** Books a task or hold. */
+    /** Allocates the resources of a running or held task. */
     addTask(record: ItemRecord): void {
         const { resources } = record.item;
         this.usedCpu += resources.cpuMillis;
@@ -117,7 +116,7 @@
         this.tasks.set(record.item.id, record);
     }
 
-    /** Gives back what a task or hold took. */
+    /** Releases the resources of a running or held task; does nothing if it is not on this worker. */
     removeTask(record: ItemRecord): void {
         if (!this.tasks.delete(record.item.id)) {
             return;
@@ -128,7 +127,7 @@
         this.usedAccelerators -= resources.accelerators;
     }
 
-    /** Books a service request. */
+    /** Allocates a slot to a service request. */
     addRequest(record: ItemRecord): void {
         this.inFlight += 1;
         this.requests.set(record.item.id, record);
@@ -136,7 +135,7 @@
         this.inFlightByBranch.set(branch, (this.inFlightByBranch.get(branch) ?? 0) + 1);
     }
 
-    /** Gives back the slot of a service request. */
+    /** Releases the slot of a service request; does nothing if it is not on this worker. */
     removeRequest(record: ItemRecord): void {
         if (!this.requests.delete(record.item.id)) {
             return;
@@ -153,5 +152,5 @@
     }
 }
 
-/** Share of an idle accelerator's processors and memory that other work leaves alone. */
-const KEPT_SHARE = 0.5;
+/** Share of the processors and memory beside an idle accelerator that other tasks leave free. */
+const HEADROOM_SHARE = 0.5;
--- a/src/process/placer/attempt-ledger.ts
+++ b/src/process/placer/attempt-ledger.ts
@@ -1,35 +1,35 @@
 /**
- * The attempts of one placer and the three things that happen to each of them: it is taken in, it runs, it ends.
- * Both sides of the placer, towards homes and towards workers, change attempts only through this class.
+ * Records the life cycle of the attempts at one placer: queued, granted, running, ended. Both sides of the
+ * placer, the one that serves homes and the one that drives workers, change attempts through this class.
  */
 import type { Millis } from "../../common/clock.js";
 import { type PlaceOrder, type TaskUpdate, TaskUpdateState } from "../../connection/messages.js";
 import type { PlacementCore, WorkItem } from "../placement/placement-core.js";
 import type { WorkerTask } from "../ports/worker-port.js";
 import type { RoleContext } from "../roles.js";
-import { type Attempt, AttemptBook, AttemptState } from "./attempt-book.js";
+import { type Attempt, AttemptRegistry, AttemptState } from "./attempt-registry.js";
 import { UpdateOutbox } from "./update-outbox.js";
 
-/** What is told of an end beside the attempt itself. */
+/** The part of a final update that the attempt itself does not determine. */
 export type AttemptEnd = Omit<TaskUpdate, "attempt" | "jobId" | "index" | "workerId" | "sliceEpoch">;
 
-/** States of an attempt that surely has not started, and what homes are told. */
-const NOT_STARTED_STATES: Readonly<Partial<Record<AttemptState, TaskUpdate["state"]>>> = {
+/** For the states in which an attempt has certainly not started: the state reported to its home. */
+const UPDATE_STATES_BEFORE_START: Readonly<Partial<Record<AttemptState, TaskUpdate["state"]>>> = {
     queued: TaskUpdateState.queued,
     granted: TaskUpdateState.granted,
 };
 
-/** What {@link AttemptLedger} is given. */
+/** Options of {@link AttemptLedger}. */
 export interface LedgerOptions {
     readonly context: RoleContext;
     readonly core: PlacementCore;
-    /** Asks for a new round of decisions soon. */
+    /** Schedules a new placement round. */
     requestDecisions(): void;
 }
 
-/** Attempts, their room in the core and the updates that tell homes of them. */
+/** Keeps attempts, the capacity they hold in the placement core and the updates sent to homes in step. */
 export class AttemptLedger {
-    readonly book = new AttemptBook();
+    readonly attempts = new AttemptRegistry();
     readonly outbox: UpdateOutbox;
 
     constructor(private readonly options: LedgerOptions) {
@@ -42,24 +42,24 @@
 
     /** Number of attempts on a worker that have not ended. */
     countOpenOn(workerId: string): number {
-        return this.book.listOfWorker(workerId).filter(attempt => attempt.state !== AttemptState.ended)
+        return this.attempts.listOfWorker(workerId).filter(attempt => attempt.state !== AttemptState.ended)
             .length;
     }
 
-    /** Takes in an order; it waits for a worker. */
+    /** Adds an attempt that waits for a worker. */
     addQueued(order: PlaceOrder): Attempt {
         const attempt: Attempt = { order, state: AttemptState.queued, stopping: false };
-        this.book.add(attempt);
+        this.attempts.add(attempt);
         return attempt;
     }
 
-    /** Records that room is held for the attempt until its home confirms it. */
+    /** Records that capacity is held for the attempt until its home confirms the start. */
     markGranted(attempt: Attempt): void {
         attempt.state = AttemptState.granted;
-        this.outbox.post(attempt.order.home.homeSlice, this.describe(attempt));
+        this.outbox.post(attempt.order.home.homeSlice, this.buildUpdate(attempt));
     }
 
-    /** Whether an attempt was not sent to any worker yet. */
+    /** Whether no start order for the attempt has been sent yet. */
     isUnsent(attempt: Attempt): boolean {
         return attempt.state === AttemptState.queued || attempt.state === AttemptState.granted;
     }
@@ -67,21 +67,24 @@
     /** Records that a worker runs the attempt. */
     markRunning(attempt: Attempt): void {
         attempt.state = AttemptState.running;
-        this.outbox.post(attempt.order.home.homeSlice, this.describe(attempt));
+        this.outbox.post(attempt.order.home.homeSlice, this.buildUpdate(attempt));
     }
 
-    /** Forgets an attempt of which only the next owner of its worker can tell, and says so. */
+    /**
+     * Drops an attempt whose state only the worker's next owner can know, and reports it to the home as
+     * moved.
+     */
     reportMoved(attempt: Attempt): void {
-        this.book.remove(attempt);
+        this.attempts.remove(attempt);
         this.outbox.post(attempt.order.home.homeSlice, {
-            ...this.describe(attempt),
+            ...this.buildUpdate(attempt),
             state: TaskUpdateState.moved,
         });
     }
 
-    /** Records the end, gives the room back and tells the home. */
+    /** Records the end, releases the attempt's capacity and notifies the home. */
     end(attempt: Attempt, end: AttemptEnd, task?: WorkerTask): void {
-        attempt.end = { ...this.describe(attempt), ...end };
+        attempt.end = { ...this.buildUpdate(attempt), ...end };
         attempt.state = AttemptState.ended;
         const failed = end.state === TaskUpdateState.failed;
         const sample = task === undefined ? undefined : { ranMs: task.ranMs, failed, usage: task.usage };
@@ -90,13 +93,13 @@
         this.options.requestDecisions();
     }
 
-    /** The attempt as an update; one whose start is under way counts as running. */
-    describe(attempt: Attempt): TaskUpdate {
+    /** Builds an update with the attempt's state; one whose start order is unanswered counts as running. */
+    buildUpdate(attempt: Attempt): TaskUpdate {
         return {
             attempt: attempt.order.attempt,
             jobId: attempt.order.jobId,
             index: attempt.order.index,
-            state: NOT_STARTED_STATES[attempt.state] ?? TaskUpdateState.running,
+            state: UPDATE_STATES_BEFORE_START[attempt.state] ?? TaskUpdateState.running,
             workerId: attempt.workerId,
             sliceEpoch: attempt.sliceEpoch,
         };
@@ -104,11 +107,10 @@
 }
 
 /**
- * Builds the core's item of an order.
- * @param order - The order.
- * @param now - This instant; the order says how long its task has waited.
+ * Builds the placement core's item for an order.
+ * @param now - Current time, from which the order's waiting time is subtracted to get the time of queueing.
  */
-export function buildItem(order: PlaceOrder, now: Millis): WorkItem {
+export function buildWorkItem(order: PlaceOrder, now: Millis): WorkItem {
     return {
         id: order.attempt,
         kind: order.kind,
--- a/src/process/placer/attempt-book.ts
+++ b/src/process/placer/attempt-registry.ts
@@ -1,40 +1,42 @@
-/** Every attempt that this placer holds: queued, running, or ended and not yet acknowledged by its home. */
+/**
+ * Registry of the attempts that this placer holds: queued, running, or ended and not yet acknowledged by the
+ * home (the entry that owns the job).
+ */
 import type { Millis } from "../../common/clock.js";
 import type { PlaceOrder, TaskUpdate } from "../../connection/messages.js";
 
-/** State of an attempt at this placer. */
 export const AttemptState = {
     queued: "queued",
-    /** Room is held; its home has to confirm before it may start. */
+    /** Capacity is held; the home has to confirm before the attempt may start. */
     granted: "granted",
-    /** A start order is under way. */
+    /** A start order has been sent and not yet answered. */
     starting: "starting",
     running: "running",
-    /** The answer to its start was lost: it may be running. */
+    /** The answer to the start order was lost: the attempt may be running. */
     uncertain: "uncertain",
     ended: "ended",
 } as const;
 export type AttemptState = (typeof AttemptState)[keyof typeof AttemptState];
 
-/** One attempt. */
+/** One attempt to run a task. */
 export interface Attempt {
     readonly order: PlaceOrder;
     state: AttemptState;
     workerId?: string;
     slice?: number;
     sliceEpoch?: number;
-    /** Instant of its start here. */
+    /** When this placer sent the start order, or, for an adopted task, when the task started. */
     startedAt?: Millis;
-    /** Instant after which a start whose answer was lost can no longer be taken by the worker. */
+    /** After this time the worker no longer accepts the start order, even if its answer was lost. */
     startBy?: Millis;
-    /** What is told to the home; set once ended. */
+    /** The final update for the home; set once the attempt has ended. */
     end?: TaskUpdate;
-    /** Whether a stop on order of its home is under way. */
+    /** Whether the home has ordered the attempt to stop. */
     stopping: boolean;
 }
 
-/** Attempts by id, with indexes by home slice and by worker. */
-export class AttemptBook {
+/** Attempts by id, with indexes by home slice, job and worker. */
+export class AttemptRegistry {
     private readonly byId = new Map<string, Attempt>();
     private readonly byHome = new Map<number, Set<Attempt>>();
     private readonly byJob = new Map<string, Set<Attempt>>();
@@ -53,7 +55,7 @@
         }
     }
 
-    /** Records where an attempt is being started. */
+    /** Records the worker, its slice and the slice's epoch for an attempt that is about to start. */
     assign(attempt: Attempt, workerId: string, slice: number, sliceEpoch: number): void {
         attempt.workerId = workerId;
         attempt.slice = slice;
@@ -86,7 +88,6 @@
         return this.byId.values();
     }
 
-    /** Number of attempts held. */
     count(): number {
         return this.byId.size;
     }
--- a/src/process/placer/decision-log.ts
+++ b/src/process/placer/decision-log.ts
@@ -1,4 +1,4 @@
-/** Log lines of a placer's decisions; docs/LOGS.md lists their fields. */
+/** Logs a placer's decisions; docs/LOGS.md lists the fields. */
 import type { SettingsVersion } from "../../version/settings.js";
 import type { Decision } from "../placement/placement-core.js";
 import type { RoleContext } from "../roles.js";
@@ -6,10 +6,8 @@
 const DECISION_NAMES = { start: "place", shed: "shed", preempt: "preempt", shadow: "shadow" } as const;
 
 /**
- * Logs a decision.
- * @param context - The log, and the settings version that the decision was made under.
- * @param decision - The decision.
- * @param tookUs - Microseconds that it took.
+ * Logs a decision together with the version of the settings it was made under.
+ * @param tookUs - Time the decision took, in microseconds.
  */
 export function logDecision(
     context: Pick<RoleContext, "log" | "settings">,
@@ -29,9 +27,7 @@
 }
 
 /**
- * Warns that the quotas of a settings version limit nothing: shares of them are not lent to placers yet.
- * @param context - The log.
- * @param settings - The version that came into force.
+ * Warns that the quotas in a settings version are not enforced: placers are not yet assigned shares of them.
  */
 export function logQuotaWarning(context: Pick<RoleContext, "log">, settings: SettingsVersion): void {
     if ([...settings.teams.values()].some(team => team.quota !== undefined)) {
--- a/src/process/placer/home-fences.ts
+++ b/src/process/placer/home-fences.ts
@@ -1,91 +1,88 @@
 /**
- * Which homes may still order work here.
+ * Decides which homes may still order work at this placer, so that no task runs twice when a paused or
+ * disconnected home resumes and sends queued orders after another entry took over its slice.
  *
- * @remarks The failure it guards against: a home that was paused or cut off wakes with orders in its send queue
- * after another took its slice and started the same tasks elsewhere. It would show as a task running twice. The
- * guard holds because a new home starts nothing before each placer has answered its census, and from that answer
- * on the placer refuses lower epochs; a placer that takes a worker slice later holds a table that is no older.
+ * @remarks A new home starts nothing before each placer has answered its census, and from that answer on the
+ * placer refuses lower epochs. A placer that acquires a worker slice later has an ownership table at least as
+ * new.
  */
 import type { HomeFence } from "../../connection/messages.js";
 import type { OwnershipView } from "../roles.js";
 
-/** Orders remembered for one home; past this the floor rises over the oldest. */
-const MAX_REMEMBERED = 50_000;
+/** Maximum number of orders remembered per home; beyond it the floor is raised above the oldest ones. */
+const MAX_REMEMBERED_ORDERS = 50_000;
 
-interface SeenHome {
+interface HomeState {
     epoch: number;
     floor: number;
-    /** Attempts admitted at or above the floor, oldest first, with the sequence of each order. */
+    /** Admitted attempts with the sequence number of their order, oldest first. */
     readonly admitted: Map<string, number>;
 }
 
-/** Highest home epochs and sequence floors seen by one placer. */
+/** Tracks the highest epoch and the sequence floor of each home seen by one placer. */
 export class HomeFences {
-    private readonly seen = new Map<number, SeenHome>();
+    private readonly homes = new Map<number, HomeState>();
 
     constructor(private readonly ownership: Pick<OwnershipView, "getHomeSliceOwner">) {}
 
-    /**
-     * Whether an order of this home may be taken.
-     * @param fence - The order's proof.
-     */
-    may(fence: HomeFence): boolean {
-        const inTable = this.ownership.getHomeSliceOwner(fence.homeSlice)?.epoch ?? 0;
-        const seen = this.seen.get(fence.homeSlice);
-        if (fence.epoch < Math.max(inTable, seen?.epoch ?? 0)) {
+    /** Whether the fence's epoch is current and its sequence number is not below the floor. */
+    isAdmissible(fence: HomeFence): boolean {
+        const tableEpoch = this.ownership.getHomeSliceOwner(fence.homeSlice)?.epoch ?? 0;
+        const home = this.homes.get(fence.homeSlice);
+        if (fence.epoch < Math.max(tableEpoch, home?.epoch ?? 0)) {
             return false;
         }
-        return seen === undefined || fence.epoch > seen.epoch || fence.sequence >= seen.floor;
+        return home === undefined || fence.epoch > home.epoch || fence.sequence >= home.floor;
     }
 
     /**
-     * Admits an order once: a home sends an order again when it has heard nothing of it, and by then the first
-     * copy may run on a worker that has gone to another placer.
-     * @param fence - The order's proof.
-     * @param attempt - The order's attempt.
-     * @returns Whether it is new and its home not outdated.
+     * Admits each attempt once. A home resends an order that it has received no update about, and by then the
+     * first copy may be running on a worker that now belongs to another placer.
+     * @param attempt - Id of the attempt.
+     * @returns Whether the attempt is new and its home is not outdated.
      */
     admit(fence: HomeFence, attempt: string): boolean {
-        if (!this.may(fence)) {
+        if (!this.isAdmissible(fence)) {
             return false;
         }
-        const seen = this.seen.get(fence.homeSlice);
-        const current = seen?.epoch === fence.epoch ?
-            seen :
+        const home = this.homes.get(fence.homeSlice);
+        const current = home?.epoch === fence.epoch ?
+            home :
             { epoch: fence.epoch, floor: 0, admitted: new Map<string, number>() };
-        this.seen.set(fence.homeSlice, current);
+        this.homes.set(fence.homeSlice, current);
         if (current.admitted.has(attempt)) {
             return false;
         }
         current.admitted.set(attempt, fence.sequence);
-        if (current.admitted.size > MAX_REMEMBERED) {
+        if (current.admitted.size > MAX_REMEMBERED_ORDERS) {
             this.forgetOldest(current);
         }
         return true;
     }
 
     /**
-     * Takes the census of a home: lower epochs, and lower sequences of its own, are refused from now on.
-     * @returns Whether the asker is not itself outdated.
+     * Applies a home's census: from now on, lower epochs and, within this epoch, lower sequence numbers are
+     * refused.
+     * @returns False if the home that sent the census is itself outdated.
      */
-    raise(homeSlice: number, epoch: number, floor: number): boolean {
-        const inTable = this.ownership.getHomeSliceOwner(homeSlice)?.epoch ?? 0;
-        const seen = this.seen.get(homeSlice);
-        if (epoch < Math.max(inTable, seen?.epoch ?? 0)) {
+    raiseFloor(homeSlice: number, epoch: number, floor: number): boolean {
+        const tableEpoch = this.ownership.getHomeSliceOwner(homeSlice)?.epoch ?? 0;
+        const home = this.homes.get(homeSlice);
+        if (epoch < Math.max(tableEpoch, home?.epoch ?? 0)) {
             return false;
         }
-        if (seen?.epoch === epoch) {
-            seen.floor = Math.max(floor, seen.floor);
+        if (home?.epoch === epoch) {
+            home.floor = Math.max(floor, home.floor);
         }
         else {
-            this.seen.set(homeSlice, { epoch, floor, admitted: new Map() });
+            this.homes.set(homeSlice, { epoch, floor, admitted: new Map() });
         }
         return true;
     }
 
-    private forgetOldest(home: SeenHome): void {
+    private forgetOldest(home: HomeState): void {
         for (const [attempt, sequence] of home.admitted) {
-            if (home.admitted.size <= MAX_REMEMBERED / 2) {
+            if (home.admitted.size <= MAX_REMEMBERED_ORDERS / 2) {
                 break;
             }
             home.admitted.delete(attempt);
--- a/src/process/placer/placer-role.ts
+++ b/src/process/placer/placer-role.ts
@@ -1,6 +1,6 @@
 /**
- * The placer role: the only party that hands out the resources of the workers in the slices this entry owns.
- * It puts together the decisions of the placement core, the workers' sessions, and requests and tasks.
+ * The placer role: the only component that assigns the resources of the workers in the slices this entry
+ * owns. It connects the placement core's decisions with the worker sessions, service requests and tasks.
  */
 import type { Millis, Timer } from "../../common/clock.js";
 import { NotRunReason } from "../../common/outcome.js";
@@ -28,43 +28,42 @@
 import { WorkerHealth } from "./worker-health.js";
 import type { SessionListener, WorkerSession } from "./worker-session.js";
 
-/** Time to wait for the right to act before asking again, with work in the queue. */
-const STANDING_POLL_MS: Millis = 100;
-/** When to ask again after a refusal for want of the right to act. */
-const STANDING_RETRY_MS: Millis = 1_000;
+/** Interval between checks of whether this entry may act again. */
+const AUTHORITY_POLL_MS: Millis = 100;
+/** Retry delay given with a refusal because this entry may not act, or because the branch runs as a shadow. */
+const AUTHORITY_RETRY_MS: Millis = 1_000;
 
-/** What {@link createPlacerRole} is given. */
+/** Options of {@link createPlacerRole}. */
 export interface PlacerOptions {
     readonly core: PlacementCore;
     readonly workers: WorkerPort;
     readonly vmList: VmListPort;
-    /** Slice of a rack, or undefined while the ownership table does not list its domain. */
+    /** Slice of the VM's rack, or undefined while the ownership table does not list its failure domain. */
     findSlice(vm: VmRecord): number | undefined;
-    /** Whether a majority of members knows an ownership table of at least this revision. */
+    /** Whether a majority of members has an ownership table of at least this revision. */
     isKnownByMajority(revision: number): boolean;
-    /** Called when a worker was opened or closed: routing elsewhere should know at once. */
+    /**
+     * Called when a worker was opened or closed to new work, so that other entries' routing learns of it
+     * promptly.
+     */
     handleWorkersChange(): void;
-    /** Called when a worker says that a slice has a newer owner. */
+    /** Called when a worker reports that a slice has a newer owner. */
     handleFenced(slice: number, epoch: number): void;
 }
 
-/** The placer role with its own side. */
+/** The placer role with the members that only the entry running it uses. */
 export interface OwnedPlacerRole extends PlacerRole {
-    /** Starts to follow the VM list. */
+    /** Starts polling the VM list. */
     start(): void;
-    /** Failure domains in the VM list. */
+    /** Lists the failure domains of the VM list. */
     listWorkerDomains(): readonly string[];
     hasWorkers(slice: number): boolean;
-    /** Gives queued work back and takes nothing new. */
+    /** Returns queued work to its homes and callers and accepts no more. */
     drain(): void;
     close(): void;
 }
 
-/**
- * Creates the placer role of an entry.
- * @param context - What every role is given.
- * @param options - The placement core and the ports.
- */
+/** Creates the placer role of an entry. */
 export function createPlacerRole(context: RoleContext, options: PlacerOptions): OwnedPlacerRole {
     return new Placer(context, options);
 }
@@ -77,7 +76,7 @@
     private readonly runs: TaskRuns;
     private readonly services: ServiceRunner;
     private decisionTimer: Timer | undefined;
-    private decisionDue = Number.POSITIVE_INFINITY;
+    private decisionDueAt = Number.POSITIVE_INFINITY;
     private draining = false;
     private closed = false;
 
@@ -149,8 +148,9 @@
     }
 
     /**
-     * Ends the sessions of a slice. A hand-over first stops new starts there and waits for those under way: a worker
-     * that compares no epochs could still take one after the next owner has listed its tasks.
+     * Closes the sessions of a slice. A handover first stops new starts there and waits for pending ones: a
+     * worker that does not compare epochs could otherwise accept one after the next owner has listed its
+     * tasks.
      */
     async closeSlice(slice: number, mode: "handOver" | "lost"): Promise<void> {
         if (mode === "handOver") {
@@ -158,7 +158,7 @@
             await this.runs.waitForStarts(slice);
         }
         this.fleet.closeSlice(slice);
-        this.returnIfIdle();
+        this.returnQueuedWithoutWorkers();
     }
 
     listSlices(): readonly SliceStatus[] {
@@ -177,8 +177,8 @@
         return this.fleet.hasWorkers(slice);
     }
 
-    /** Work that waits at a placer without workers would wait for ever: the home looks for another. */
-    private returnIfIdle(): void {
+    /** Without workers, queued work would wait forever; returned to its home, it can go to another placer. */
+    private returnQueuedWithoutWorkers(): void {
         if (this.options.core.getLoad().workers === 0) {
             this.orders.returnQueued("this placer has no workers any more");
         }
@@ -190,7 +190,7 @@
 
     explain(jobId: string): readonly string[] {
         const { clock, memberId } = this.context;
-        return explainJob(this.ledger.book, this.options.core, jobId, memberId, clock.now());
+        return explainJob(this.ledger.attempts, this.options.core, jobId, memberId, clock.now());
     }
 
     async handleCall(from: string, body: CallBody): Promise<AnswerBody> {
@@ -223,7 +223,7 @@
             case "reserve":
                 return this.orders.reserve(body);
             case "census":
-                return this.orders.takeCensus(body) ??
+                return this.orders.handleCensus(body) ??
                     {
                         kind: "error",
                         code: PeerErrorCode.notOwner,
@@ -242,7 +242,7 @@
         switch (note.kind) {
             case "place":
                 this.orders.receivePlace(note);
-                this.returnIfIdle();
+                this.returnQueuedWithoutWorkers();
                 if (this.draining) {
                     this.orders.returnQueued("the placer is shutting down");
                 }
@@ -257,7 +257,7 @@
                 this.orders.receiveAcknowledge(note);
                 break;
             case "updates":
-                this.context.log.debug("updates are for homes", { from });
+                this.context.log.debug("placer ignored updates, which are for homes", { from });
                 break;
         }
     }
@@ -283,7 +283,7 @@
         this.context.metrics.count("placer.workers_lost");
         this.runs.handleLost(session);
         this.options.core.removeWorker(session.workerId);
-        this.returnIfIdle();
+        this.returnQueuedWithoutWorkers();
     }
 
     handleFenced(session: WorkerSession): void {
@@ -324,23 +324,23 @@
                 branch,
                 treeVersion: this.context.settings.getCurrent()?.version ?? 0,
                 chosen: workerId,
-                reason: "failed what other workers do well",
+                reason: "failed work that succeeds on other workers",
             });
             this.context.metrics.count("placer.ejections");
             this.fleet.refreshOpen(session);
         }
     }
 
-    /** Decides soon; calls in one turn of the event loop share a round. */
+    /** Schedules a placement round; calls in one turn of the event loop share a round. */
     private scheduleDecisions(delay: Millis): void {
         const due = this.context.clock.now() + delay;
-        if (this.closed || this.decisionDue <= due) {
+        if (this.closed || this.decisionDueAt <= due) {
             return;
         }
         this.decisionTimer?.cancel();
-        this.decisionDue = due;
+        this.decisionDueAt = due;
         this.decisionTimer = this.context.clock.schedule(delay, () => {
-            this.decisionDue = Number.POSITIVE_INFINITY;
+            this.decisionDueAt = Number.POSITIVE_INFINITY;
             this.decide();
         });
     }
@@ -350,8 +350,8 @@
             return;
         }
         if (!this.context.ownership.mayAct()) {
-            this.services.shedAll(NotRunReason.settingsUncertain, STANDING_RETRY_MS);
-            this.scheduleDecisions(STANDING_POLL_MS);
+            this.services.shedAll(NotRunReason.settingsUncertain, AUTHORITY_RETRY_MS);
+            this.scheduleDecisions(AUTHORITY_POLL_MS);
             return;
         }
         const now = this.context.clock.now();
@@ -364,7 +364,7 @@
             this.applyDecision(decision, tookUs);
         }
         if (decisions.length > 0) {
-            // One call of the core decides a bounded number: there may be more.
+            // The core makes a bounded number of decisions per call, so more may be possible now.
             this.scheduleDecisions(0);
         }
         const next = this.options.core.getNextDecisionAt(now);
@@ -392,8 +392,8 @@
                 this.runs.preempt(decision);
                 break;
             case "shadow":
-                this.services.shed(decision.item.id, "branchOff", STANDING_RETRY_MS);
-                this.orders.shed(decision.item.id, "branchOff", STANDING_RETRY_MS);
+                this.services.shed(decision.item.id, "branchOff", AUTHORITY_RETRY_MS);
+                this.orders.shed(decision.item.id, "branchOff", AUTHORITY_RETRY_MS);
                 break;
         }
     }
--- a/src/process/placer/service-runner.ts
+++ b/src/process/placer/service-runner.ts
@@ -1,4 +1,4 @@
-/** Service requests at this placer, from the call of a front or home to the worker's answer. */
+/** Runs service requests at this placer, from the call of a gateway or home to the worker's answer. */
 import { type Millis, sleep } from "../../common/clock.js";
 import { buildNotRun, NotRunReason, type Outcome } from "../../common/outcome.js";
 import { NO_RESOURCES } from "../../common/resources.js";
@@ -16,36 +16,36 @@
 import { ORDER_WINDOW_MS } from "./worker-clock.js";
 import type { WorkerFleet } from "./worker-fleet.js";
 
-/** Statuses from here on are failures of the worker; lower ones are answers. */
+/** Statuses from this one on count as failures of the worker; lower ones are answers. */
 const FIRST_FAILURE_STATUS = 500;
-/** When to ask again after a refusal that a moment may cure. */
+/** Retry delay after a refusal whose cause is likely to be brief. */
 const SHORT_RETRY_MS: Millis = 250;
 
-/** What {@link ServiceRunner} is given. */
+/** Options of {@link ServiceRunner}. */
 export interface ServiceRunnerOptions {
     readonly context: RoleContext;
     readonly core: PlacementCore;
     readonly fleet: WorkerFleet;
     findBranch(path: string): BranchSettings | undefined;
-    /** Asks for a new round of decisions soon. */
+    /** Schedules a new placement round. */
     requestDecisions(): void;
-    /** Tells the result of a request for the judgement of the worker. */
+    /** Reports a request's result to the worker's health record. */
     observeResult(workerId: string, branch: string, failed: boolean): void;
 }
 
-interface Waiting {
+interface PendingRequest {
     readonly call: ServeCall;
     readonly arrivedAt: Millis;
     readonly reply: (answer: ServeAnswer) => void;
 }
 
-/** Keeps the requests that wait for a slot and runs those that got one. */
+/** Holds requests until a slot is assigned to them, then runs them. */
 export class ServiceRunner {
-    private readonly waiting = new Map<string, Waiting>();
+    private readonly pending = new Map<string, PendingRequest>();
 
     constructor(private readonly options: ServiceRunnerOptions) {}
 
-    /** Handles a call; resolves with the final answer of this try. */
+    /** Handles a call; resolves with the final answer of this attempt. */
     handleCall(call: ServeCall): Promise<AnswerBody> {
         const { clock } = this.options.context;
         const branch = this.options.findBranch(call.branch);
@@ -56,7 +56,7 @@
                 message: `no service branch "${call.branch}" in the settings in force here`,
             });
         }
-        if (this.waiting.has(call.attempt)) {
+        if (this.pending.has(call.attempt)) {
             return Promise.resolve({
                 kind: "error",
                 code: PeerErrorCode.invalid,
@@ -86,53 +86,55 @@
             );
         }
         return new Promise(resolve => {
-            this.waiting.set(call.attempt, { call, arrivedAt: now, reply: resolve });
+            this.pending.set(call.attempt, { call, arrivedAt: now, reply: resolve });
             this.options.requestDecisions();
         });
     }
 
-    /** Whether an item of the core is a request of this runner. */
+    /** Whether an item of the placement core is a request of this runner. */
     has(itemId: string): boolean {
-        return this.waiting.has(itemId);
+        return this.pending.has(itemId);
     }
 
     /** Carries out a start decision. */
     start(decision: Extract<Decision, { kind: "start"; }>): void {
-        const waiting = this.waiting.get(decision.item.id);
-        if (waiting !== undefined) {
-            void this.run(waiting, decision.workerId);
+        const request = this.pending.get(decision.item.id);
+        if (request !== undefined) {
+            void this.run(request, decision.workerId);
         }
     }
 
-    /** Answers a request that will not be run here. */
+    /** Answers a request that the placement core has shed. */
     shed(itemId: string, reason: ShedReason, retryAfterMs: Millis): void {
         this.reply(itemId, buildShedAnswer(reason, retryAfterMs));
     }
 
-    /** Answers every request that still waits for a slot: this entry may not act now. */
+    /**
+     * Answers every request that still waits for a slot, because this entry may not act or is shutting down.
+     */
     shedAll(reason: NotRunReason, retryAfterMs: Millis): void {
-        for (const itemId of [...this.waiting.keys()]) {
+        for (const itemId of [...this.pending.keys()]) {
             if (this.options.core.withdraw(itemId)) {
                 const remedy = "ask again: another entry may take it";
-                this.reply(itemId, buildServed(buildNotRun(reason, remedy, retryAfterMs), true));
+                this.reply(itemId, buildServeAnswer(buildNotRun(reason, remedy, retryAfterMs), true));
             }
         }
     }
 
     private reply(itemId: string, answer: ServeAnswer): void {
-        const waiting = this.waiting.get(itemId);
-        this.waiting.delete(itemId);
-        waiting?.reply(answer);
+        const request = this.pending.get(itemId);
+        this.pending.delete(itemId);
+        request?.reply(answer);
     }
 
-    private async run(waiting: Waiting, workerId: string): Promise<void> {
+    private async run(request: PendingRequest, workerId: string): Promise<void> {
         const { clock, metrics } = this.options.context;
-        const { call } = waiting;
+        const { call } = request;
         const branch = this.options.findBranch(call.branch);
         const startedAt = clock.now();
-        const left = call.deadlineMs - (startedAt - waiting.arrivedAt);
-        const timeoutMs = Math.max(1, Math.min(left, branch?.attemptTimeoutMs ?? left));
-        metrics.time("placer.service_wait_ms", startedAt - waiting.arrivedAt, { branch: call.branch });
+        const remainingMs = call.deadlineMs - (startedAt - request.arrivedAt);
+        const timeoutMs = Math.max(1, Math.min(remainingMs, branch?.attemptTimeoutMs ?? remainingMs));
+        metrics.time("placer.service_wait_ms", startedAt - request.arrivedAt, { branch: call.branch });
         const session = this.options.fleet.find(workerId);
         const answer: WorkerAnswer<ServeReply> = session === undefined ?
             { kind: "unavailable", message: "the worker is no longer this entry's" } :
@@ -144,38 +146,39 @@
                 timeoutMs,
             });
         if (answer.kind === "unknown") {
-            await this.finishUnknown(waiting, workerId, startedAt, timeoutMs, answer.message);
+            await this.finishUnknown(request, workerId, startedAt, timeoutMs, answer.message);
             return;
         }
-        const served = describeAnswer(answer, workerId);
+        const served = convertAnswer(answer, workerId);
         const failed = answer.kind === "unavailable" || served.outcome.kind === "failed";
         this.finish(call, workerId, startedAt, failed);
         this.reply(call.attempt, served);
     }
 
     /**
-     * The worker may still be running the request. It may have taken it as late as the end of the order window and
-     * gives it up at its timeout from then, so the slot stays taken and a
-     * repeatable request is offered for another try only from then on: never two at once.
+     * Finishes a request whose answer was lost. The worker may have accepted it as late as the end of the
+     * order window and may run it for the full timeout from then. Until that time has passed, the slot stays
+     * occupied and a repeatable request is not released for another attempt, so that two attempts never run
+     * at once.
      */
     private async finishUnknown(
-        waiting: Waiting,
+        request: PendingRequest,
         workerId: string,
         startedAt: Millis,
         timeoutMs: Millis,
         message: string,
     ): Promise<void> {
         const { clock } = this.options.context;
-        const { call } = waiting;
+        const { call } = request;
         const outcome: Outcome = { kind: "mayHaveRun", message: `worker ${workerId}: ${message}` };
         if (call.home !== undefined) {
-            this.reply(call.attempt, buildServed(outcome, false));
+            this.reply(call.attempt, buildServeAnswer(outcome, false));
         }
         const drift = this.options.context.settings.getCurrent()?.cell.clockDrift ?? 0;
         const end = startedAt + (ORDER_WINDOW_MS + timeoutMs) * (1 + drift) + SHORT_RETRY_MS;
         await sleep(clock, Math.max(0, end - clock.now()));
         this.finish(call, workerId, startedAt, true);
-        this.reply(call.attempt, buildServed(outcome, true));
+        this.reply(call.attempt, buildServeAnswer(outcome, true));
     }
 
     private finish(call: ServeCall, workerId: string, startedAt: Millis, failed: boolean): void {
@@ -186,13 +189,13 @@
     }
 }
 
-function describeAnswer(
+function convertAnswer(
     answer: Exclude<WorkerAnswer<ServeReply>, { kind: "unknown"; }>,
     workerId: string,
 ): ServeAnswer {
     switch (answer.kind) {
         case "refused":
-            return buildServed(
+            return buildServeAnswer(
                 buildNotRun(
                     NotRunReason.refusedByWorker,
                     `worker ${workerId} refused it (${answer.reason}): ask again`,
@@ -201,7 +204,7 @@
                 true,
             );
         case "unavailable":
-            return buildServed(
+            return buildServeAnswer(
                 buildNotRun(
                     NotRunReason.noWorker,
                     `worker ${workerId} was not reached: ask again`,
@@ -210,14 +213,14 @@
                 true,
             );
         case "done":
-            return buildServed(
-                describeReply(answer.value, workerId),
+            return buildServeAnswer(
+                convertReply(answer.value, workerId),
                 answer.value.status >= FIRST_FAILURE_STATUS,
             );
     }
 }
 
-function describeReply(reply: ServeReply, workerId: string): Outcome {
+function convertReply(reply: ServeReply, workerId: string): Outcome {
     if (reply.status >= FIRST_FAILURE_STATUS) {
         const message = new TextDecoder().decode(reply.body);
         return { kind: "failed", message: message === "" ? `status ${reply.status}` : message, workerId };
@@ -232,9 +235,12 @@
         branchUnknown: NotRunReason.branchOff,
         branchOff: NotRunReason.branchOff,
     };
-    return buildServed(buildNotRun(reasons[reason], "ask again after the time given", retryAfterMs), true);
+    return buildServeAnswer(
+        buildNotRun(reasons[reason], "ask again after the time given", retryAfterMs),
+        true,
+    );
 }
 
-function buildServed(outcome: Outcome, retrySafe: boolean): ServeAnswer {
+function buildServeAnswer(outcome: Outcome, retrySafe: boolean): ServeAnswer {
     return { kind: "served", outcome, retrySafe };
 }
--- a/src/process/placer/task-label.ts
+++ b/src/process/placer/task-label.ts
@@ -1,24 +1,20 @@
 /**
- * The label that a start order carries: what a later owner of the worker must know of the task. Workers return
- * it unread.
+ * The label of a start order: what a later owner of the worker needs to know about the task. Workers store it
+ * and return it unchanged.
  */
 import type { PlaceOrder } from "../../connection/messages.js";
 import type { WorkerTask } from "../ports/worker-port.js";
 
 const LABEL_FORMAT = 1;
 
-/**
- * Encodes an order as a label, without its payload.
- * @param order - The order.
- */
+/** Encodes an order as a label, without its payload and checkpoint. */
 export function encodeLabel(order: PlaceOrder): string {
     return JSON.stringify({ ...order, payload: "", checkpoint: undefined, format: LABEL_FORMAT });
 }
 
 /**
- * Decodes the label of a task.
- * @param task - The task as its worker reports it.
- * @returns The order without its payload, or undefined when another program started the task.
+ * Decodes the label of a task that a worker reported.
+ * @returns The order without its payload, or undefined if the label was not written by a placer.
  */
 export function decodeLabel(task: WorkerTask): PlaceOrder | undefined {
     let value: unknown;
--- a/src/process/placer/task-orders.ts
+++ b/src/process/placer/task-orders.ts
@@ -1,4 +1,4 @@
-/** The side of a placer that faces homes: orders, withdrawals, reservations, acknowledgements, censuses. */
+/** Handles what homes send to a placer: orders, withdrawals, reservations, acknowledgements and censuses. */
 import type { Millis } from "../../common/clock.js";
 import {
     type AcknowledgeNote,
@@ -14,12 +14,12 @@
 } from "../../connection/messages.js";
 import type { Decision, PlacementCore, ShedReason } from "../placement/placement-core.js";
 import type { RoleContext } from "../roles.js";
-import { type Attempt, AttemptState } from "./attempt-book.js";
-import { type AttemptLedger, buildItem } from "./attempt-ledger.js";
+import { type AttemptLedger, buildWorkItem } from "./attempt-ledger.js";
+import { type Attempt, AttemptState } from "./attempt-registry.js";
 import { HomeFences } from "./home-fences.js";
 import type { WorkerFleet } from "./worker-fleet.js";
 
-/** What {@link TaskOrders} is given. */
+/** Options of {@link TaskOrders}. */
 export interface TaskOrdersOptions {
     readonly context: RoleContext;
     readonly core: PlacementCore;
@@ -27,15 +27,15 @@
     readonly fleet: WorkerFleet;
     /** Carries out a start decision. */
     start(decision: Extract<Decision, { kind: "start"; }>): void;
-    /** Starts an attempt that waited for its home's word. */
+    /** Starts an attempt whose home has confirmed the start. */
     startGranted(attempt: Attempt): void;
-    /** Stops an attempt that runs. */
+    /** Stops a running attempt. */
     stop(attemptId: string): void;
-    /** Asks for a new round of decisions soon. */
+    /** Schedules a new placement round. */
     requestDecisions(): void;
 }
 
-/** Takes what homes send and answers it. */
+/** Applies the orders of homes to the attempts of this placer. */
 export class TaskOrders {
     readonly fences: HomeFences;
 
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Takes tasks from a home. An order that was seen before, or whose home is outdated, is passed over without a
-     * word: "not started" would be untrue where an earlier copy of it ran.
+     * Accepts tasks from a home. An order that was seen before, or whose home is outdated, is ignored without
+     * an answer, because "not started" would be wrong if an earlier copy of the order has run.
      */
     receivePlace(note: PlaceNote): void {
         const gangs = new Set<string>();
@@ -65,28 +65,28 @@
         this.options.requestDecisions();
     }
 
-    /** Holds room for a gang. */
+    /** Reserves capacity for a gang. */
     reserve(call: ReserveCall): ReserveAnswer {
-        if (!this.fences.may(call.home)) {
+        if (!this.fences.isAdmissible(call.home)) {
             return { kind: "reserved", held: 0 };
         }
         const now = this.options.context.clock.now();
-        const items = call.orders.map(order => buildItem(order, now));
+        const items = call.orders.map(order => buildWorkItem(order, now));
         const hold = this.options.core.reserve(call.gangId, items, now + call.holdMs, now);
         return { kind: "reserved", held: hold.held, moreAfterMs: hold.moreAfterMs };
     }
 
-    /** Starts granted attempts whose start markers are durable. */
+    /** Starts granted attempts whose start markers the home has stored durably. */
     receiveConfirm(note: ConfirmNote): void {
         for (const attemptId of note.attempts) {
-            const attempt = this.options.ledger.book.find(attemptId);
-            if (attempt?.state === AttemptState.granted && this.fences.may(attempt.order.home)) {
+            const attempt = this.options.ledger.attempts.find(attemptId);
+            if (attempt?.state === AttemptState.granted && this.fences.isAdmissible(attempt.order.home)) {
                 this.options.startGranted(attempt);
             }
         }
     }
 
-    /** Takes tasks back. */
+    /** Withdraws attempts that have not started and, if asked to, stops the others. */
     receiveWithdraw(note: WithdrawNote): void {
         for (const attemptId of note.attempts) {
             this.withdraw(attemptId, note.stop);
@@ -94,13 +94,13 @@
         this.options.requestDecisions();
     }
 
-    /** Forgets ended attempts whose ends are durable. */
+    /** Drops ended attempts whose ends the home has stored durably. */
     receiveAcknowledge(note: AcknowledgeNote): void {
         for (const attemptId of note.attempts) {
-            const attempt = this.options.ledger.book.find(attemptId);
+            const attempt = this.options.ledger.attempts.find(attemptId);
             this.options.ledger.outbox.drop(note.homeSlice, attemptId);
             if (attempt?.state === AttemptState.ended) {
-                this.options.ledger.book.remove(attempt);
+                this.options.ledger.attempts.remove(attempt);
                 if (attempt.workerId !== undefined) {
                     this.options.fleet.find(attempt.workerId)?.acknowledge(attemptId);
                 }
@@ -108,14 +108,15 @@
         }
     }
 
-    /** Answers a census and refuses older homes from now on. */
-    takeCensus(call: CensusCall): CensusAnswer | undefined {
-        if (!this.fences.raise(call.homeSlice, call.epoch, call.floor)) {
+    /** Answers a census, and refuses older homes from now on; undefined if the asking home is outdated. */
+    handleCensus(call: CensusCall): CensusAnswer | undefined {
+        if (!this.fences.raiseFloor(call.homeSlice, call.epoch, call.floor)) {
             return undefined;
         }
-        for (const attempt of this.options.ledger.book.listOfHome(call.homeSlice)) {
-            if (this.options.ledger.isUnsent(attempt) && !this.fences.may(attempt.order.home)) {
-                // Told as not started until acknowledged: the new home may start it again, even if it must not run twice.
+        for (const attempt of this.options.ledger.attempts.listOfHome(call.homeSlice)) {
+            if (this.options.ledger.isUnsent(attempt) && !this.fences.isAdmissible(attempt.order.home)) {
+                // Reported as not started until acknowledged, so that the new home may start even a task that
+                // must not run twice.
                 this.options.core.withdraw(attempt.order.attempt);
                 this.options.ledger.end(attempt, {
                     state: TaskUpdateState.notStarted,
@@ -123,8 +124,8 @@
                 });
             }
         }
-        const tasks = this.options.ledger.book.listOfHome(call.homeSlice).map(attempt =>
-            attempt.end ?? this.options.ledger.describe(attempt)
+        const tasks = this.options.ledger.attempts.listOfHome(call.homeSlice).map(attempt =>
+            attempt.end ?? this.options.ledger.buildUpdate(attempt)
         );
         return {
             kind: "census",
@@ -133,17 +134,17 @@
         };
     }
 
-    /** Ends an attempt that the core sheds. */
+    /** Ends an attempt that the placement core has shed. */
     shed(itemId: string, reason: ShedReason, retryAfterMs: Millis): void {
-        const attempt = this.options.ledger.book.find(itemId);
+        const attempt = this.options.ledger.attempts.find(itemId);
         if (attempt !== undefined) {
             this.options.ledger.end(attempt, { state: TaskUpdateState.notStarted, reason, retryAfterMs });
         }
     }
 
-    /** Gives back to their homes all attempts that have not started: this placer takes no more work. */
+    /** Returns all attempts that have not started to their homes. */
     returnQueued(reason: string): void {
-        for (const attempt of [...this.options.ledger.book.listAll()]) {
+        for (const attempt of [...this.options.ledger.attempts.listAll()]) {
             if (this.options.ledger.isUnsent(attempt)) {
                 this.options.core.withdraw(attempt.order.attempt);
                 this.options.ledger.end(attempt, {
@@ -159,7 +160,7 @@
     private enqueue(order: PlaceOrder): void {
         const now = this.options.context.clock.now();
         const attempt = this.options.ledger.addQueued(order);
-        const result = this.options.core.enqueue(buildItem(order, now), now);
+        const result = this.options.core.enqueue(buildWorkItem(order, now), now);
         if (result.kind === "shed") {
             this.shed(order.attempt, result.reason, result.retryAfterMs);
         }
@@ -175,7 +176,7 @@
                 this.options.start(decision);
             }
         }
-        for (const attempt of [...this.options.ledger.book.listAll()]) {
+        for (const attempt of [...this.options.ledger.attempts.listAll()]) {
             if (attempt.order.gangId === gangId && attempt.state === AttemptState.queued) {
                 this.options.ledger.end(attempt, {
                     state: TaskUpdateState.notStarted,
@@ -186,9 +187,9 @@
     }
 
     private withdraw(attemptId: string, stop: boolean): void {
-        const attempt = this.options.ledger.book.find(attemptId);
+        const attempt = this.options.ledger.attempts.find(attemptId);
         if (attempt === undefined) {
-            // A gang that did not get all its places gives back those that it got. What is reserved for it stays.
+            // A gang that did not get all its places releases those it has; its reservation stays.
             this.options.core.release(attemptId, this.options.context.clock.now());
             return;
         }
--- a/src/process/placer/task-runs.ts
+++ b/src/process/placer/task-runs.ts
@@ -1,33 +1,34 @@
-/** The side of a placer that faces workers, for tasks of jobs: starts, stops, reports, adoption, losses. */
+/** Drives the tasks of jobs on workers: starts, stops, reports, adoption and losses. */
 import { type Millis, sleep } from "../../common/clock.js";
 import { TaskUpdateState } from "../../connection/messages.js";
 import type { Decision, PlacementCore } from "../placement/placement-core.js";
 import { type WorkerReport, type WorkerTask, WorkerTaskState } from "../ports/worker-port.js";
 import type { RoleContext } from "../roles.js";
-import { type Attempt, AttemptState } from "./attempt-book.js";
-import { type AttemptLedger, buildItem } from "./attempt-ledger.js";
+import { type AttemptLedger, buildWorkItem } from "./attempt-ledger.js";
+import { type Attempt, AttemptState } from "./attempt-registry.js";
 import { decodeLabel, encodeLabel } from "./task-label.js";
 import { ORDER_WINDOW_MS } from "./worker-clock.js";
 import type { WorkerFleet } from "./worker-fleet.js";
 import type { WorkerSession } from "./worker-session.js";
 
-/** Room is held this long for a task whose home has to confirm its start. */
+/** How long capacity is held for a task whose home has to confirm its start. */
 const GRANT_HOLD_MS: Millis = 3_000;
+/** Interval between checks of whether start orders are still unanswered. */
 const START_POLL_MS: Millis = 10;
-/** When a home may offer a task again whose worker went away before it was sent. */
+/** Retry delay given to a home for a task whose worker became unavailable before the start order was sent. */
 const UNSENT_RETRY_MS: Millis = 250;
 
-/** What {@link TaskRuns} is given. */
+/** Options of {@link TaskRuns}. */
 export interface TaskRunsOptions {
     readonly context: RoleContext;
     readonly core: PlacementCore;
     readonly ledger: AttemptLedger;
     readonly fleet: WorkerFleet;
-    /** Tells the result of a task for the judgement of the worker. */
+    /** Reports a task's result to the worker's health record. */
     observeResult(workerId: string, branch: string, failed: boolean): void;
 }
 
-/** States in which a worker's task has ended, and what homes are told. */
+/** For each final state of a worker's task: the state reported to the home. */
 const END_STATES = {
     done: TaskUpdateState.done,
     failed: TaskUpdateState.failed,
@@ -35,45 +36,47 @@
     expired: TaskUpdateState.lost,
 } as const;
 
-/** Drives attempts on workers through their states. */
+/** Moves attempts through their states by orders to workers and by reports from them. */
 export class TaskRuns {
     constructor(private readonly options: TaskRunsOptions) {}
 
-    /** Carries out a start decision; the core has taken the room already. */
+    /** Carries out a start decision; the placement core has already allocated the capacity. */
     start(decision: Extract<Decision, { kind: "start"; }>): void {
-        const attempt = this.options.ledger.book.find(decision.item.id);
+        const attempt = this.options.ledger.attempts.find(decision.item.id);
         const session = this.options.fleet.find(decision.workerId);
         if (attempt === undefined || session === undefined) {
             this.options.core.release(decision.item.id, this.options.context.clock.now());
             return;
         }
-        this.options.ledger.book.assign(attempt, session.workerId, session.slice, session.epoch);
+        this.options.ledger.attempts.assign(attempt, session.workerId, session.slice, session.epoch);
         if (attempt.order.repeatable || attempt.order.gangId !== undefined) {
-            this.send(attempt, session);
+            this.dispatchStart(attempt, session);
             return;
         }
         this.options.ledger.markGranted(attempt);
         this.options.context.clock.schedule(GRANT_HOLD_MS, () => this.expireGrant(attempt));
     }
 
-    /** Starts an attempt whose home has confirmed that its start marker is durable. */
+    /** Starts an attempt whose home has confirmed that the start marker is durable. */
     startGranted(attempt: Attempt): void {
         const session = this.options.fleet.find(attempt.workerId ?? "");
         if (session === undefined || !this.options.fleet.isOpen(session)) {
             this.endUnsent(attempt, "its worker takes nothing new any more");
             return;
         }
-        this.send(attempt, session);
+        this.dispatchStart(attempt, session);
     }
 
-    private send(attempt: Attempt, session: WorkerSession): void {
+    private dispatchStart(attempt: Attempt, session: WorkerSession): void {
         attempt.state = AttemptState.starting;
         attempt.startedAt = this.options.context.clock.now();
         attempt.startBy = attempt.startedAt + ORDER_WINDOW_MS;
         void this.sendStart(attempt, session);
     }
 
-    /** The home is away, or cannot write: the room goes to others meanwhile. */
+    /**
+     * Releases the capacity for other work if the home has not confirmed: it is unreachable, or cannot write.
+     */
     private expireGrant(attempt: Attempt): void {
         if (attempt.state === AttemptState.granted) {
             this.endUnsent(attempt, "its home did not confirm the start in time");
@@ -88,16 +91,18 @@
         });
     }
 
-    /** Stops an attempt on order of its home; one whose start is under way is stopped when it is known to run. */
+    /**
+     * Stops an attempt by order of its home; one whose start is pending is stopped once it is known to run.
+     */
     stop(attemptId: string): void {
-        const attempt = this.options.ledger.book.find(attemptId);
+        const attempt = this.options.ledger.attempts.find(attemptId);
         if (attempt !== undefined) {
             attempt.stopping = true;
             this.sendStop(attempt);
         }
     }
 
-    /** Waits until the result of every start under way on a slice is in; each has its own timeout. */
+    /** Waits until every pending start on a slice has a result; each has its own timeout. */
     async waitForStarts(slice: number): Promise<void> {
         while (this.isStarting(slice)) {
             await sleep(this.options.context.clock, START_POLL_MS);
@@ -105,7 +110,7 @@
     }
 
     private isStarting(slice: number): boolean {
-        for (const attempt of this.options.ledger.book.listAll()) {
+        for (const attempt of this.options.ledger.attempts.listAll()) {
             if (attempt.slice === slice && attempt.state === AttemptState.starting) {
                 return true;
             }
@@ -113,15 +118,15 @@
         return false;
     }
 
-    /** Makes a victim give way. */
+    /** Sends the preemption step (throttle, checkpoint or stop) to the victim's worker. */
     preempt(decision: Extract<Decision, { kind: "preempt"; }>): void {
         void this.options.fleet.find(decision.workerId)?.orderTask(decision.step, decision.victimId);
     }
 
-    /** Takes the full list of a worker that was attached. */
+    /** Handles the full report of a worker that was just attached. */
     handleAttached(session: WorkerSession, report: WorkerReport, restarted: boolean): void {
         const listed = new Set(report.tasks.map(task => task.attempt));
-        for (const attempt of this.options.ledger.book.listOfWorker(session.workerId)) {
+        for (const attempt of this.options.ledger.attempts.listOfWorker(session.workerId)) {
             if (attempt.state !== AttemptState.ended && !listed.has(attempt.order.attempt)) {
                 this.handleMissing(session, attempt, restarted);
             }
@@ -129,16 +134,16 @@
         this.handleReport(session, report);
     }
 
-    /** Takes the changes that a worker reports. */
+    /** Handles the changes that a worker reports. */
     handleReport(session: WorkerSession, report: WorkerReport): void {
         for (const task of report.tasks) {
             this.handleTask(session, task);
         }
     }
 
-    /** The tasks of a worker have surely ended without an answer. */
+    /** Ends the attempts on a lost worker, whose tasks have certainly ended by now. */
     handleLost(session: WorkerSession): void {
-        for (const attempt of this.options.ledger.book.listOfWorker(session.workerId)) {
+        for (const attempt of this.options.ledger.attempts.listOfWorker(session.workerId)) {
             if (attempt.state === AttemptState.granted) {
                 this.endUnsent(attempt, "its worker was lost");
             }
@@ -152,20 +157,21 @@
     }
 
     /**
-     * A worker is another owner's now, and what runs or ended there is told by that one. Ends that only this placer
-     * can know stay until acknowledged, and a start under way until its result is in.
+     * Drops the attempts on a worker that belongs to another owner now; that owner reports what runs or ended
+     * there. Ends that only this placer knows stay until acknowledged, and a pending start stays until it has
+     * a result.
      */
     handleDropped(session: WorkerSession): void {
         const { ledger } = this.options;
-        for (const attempt of ledger.book.listOfWorker(session.workerId)) {
+        for (const attempt of ledger.attempts.listOfWorker(session.workerId)) {
             if (attempt.state === AttemptState.granted) {
                 this.endUnsent(attempt, "its worker has another owner now");
             }
-            if (attempt.state === AttemptState.starting || isKnownHereOnly(attempt)) {
+            if (attempt.state === AttemptState.starting || isEndKnownOnlyHere(attempt)) {
                 continue;
             }
             ledger.outbox.drop(attempt.order.home.homeSlice, attempt.order.attempt);
-            ledger.book.remove(attempt);
+            ledger.attempts.remove(attempt);
         }
         this.options.core.removeWorker(session.workerId);
     }
@@ -187,7 +193,7 @@
         });
         if (
             attempt.state !== AttemptState.starting ||
-            this.options.ledger.book.find(order.attempt) !== attempt
+            this.options.ledger.attempts.find(order.attempt) !== attempt
         ) {
             return;
         }
@@ -200,8 +206,8 @@
             });
         }
         else if (!isOwned) {
-            // The worker went to another owner meanwhile, which learns from the worker whether the task runs. The home
-            // may have been told by a census that it runs here: it has to ask again.
+            // The worker has another owner by now, which learns from the worker whether the task runs. A
+            // census may have told the home that it runs here, so the home has to ask again.
             this.options.ledger.reportMoved(attempt);
         }
         else if (result.kind === "started") {
@@ -213,7 +219,10 @@
         }
     }
 
-    /** Once the worker can no longer take the lost order, a full report proves whether it did. */
+    /**
+     * Requests a full report once the worker can no longer accept the order; it proves whether the task
+     * started.
+     */
     private scheduleRefresh(session: WorkerSession): void {
         this.options.context.clock.schedule(ORDER_WINDOW_MS, () => session.refresh());
     }
@@ -225,7 +234,7 @@
         }
     }
 
-    /** A full report does not list an attempt that this placer holds as started. */
+    /** Handles an attempt that this placer holds as started and that a full report does not list. */
     private handleMissing(session: WorkerSession, attempt: Attempt, restarted: boolean): void {
         const now = this.options.context.clock.now();
         const mayStillStart = attempt.startBy !== undefined && now <= attempt.startBy + ORDER_WINDOW_MS;
@@ -252,7 +261,7 @@
     }
 
     private handleTask(session: WorkerSession, task: WorkerTask): void {
-        const attempt = this.options.ledger.book.find(task.attempt) ?? this.adopt(session, task);
+        const attempt = this.options.ledger.attempts.find(task.attempt) ?? this.adopt(session, task);
         if (attempt === undefined || attempt.state === AttemptState.ended) {
             return;
         }
@@ -265,7 +274,7 @@
         this.endByWorker(attempt, task);
     }
 
-    /** Takes up a task that an owner before this one started. */
+    /** Adopts a task that a previous owner started; undefined if its label was not written by a placer. */
     private adopt(session: WorkerSession, task: WorkerTask): Attempt | undefined {
         const order = decodeLabel(task);
         if (order === undefined) {
@@ -284,10 +293,10 @@
             startedAt: now - task.ranMs,
             stopping: false,
         };
-        this.options.ledger.book.add(attempt);
+        this.options.ledger.attempts.add(attempt);
         const ended = task.state !== WorkerTaskState.running && task.state !== WorkerTaskState.checkpointing;
         if (!ended) {
-            this.options.core.adopt(session.workerId, buildItem(order, now), now);
+            this.options.core.adopt(session.workerId, buildWorkItem(order, now), now);
         }
         return attempt;
     }
@@ -312,6 +321,6 @@
     }
 }
 
-function isKnownHereOnly(attempt: Attempt): boolean {
+function isEndKnownOnlyHere(attempt: Attempt): boolean {
     return attempt.end?.state === TaskUpdateState.notStarted || attempt.end?.state === TaskUpdateState.lost;
 }
--- a/src/process/placer/update-outbox.ts
+++ b/src/process/placer/update-outbox.ts
@@ -1,27 +1,27 @@
 /**
- * Updates on their way to homes. A running state is sent once, since a census asks for it anyway; an end is
- * repeated until the home acknowledges it, to whichever entry owns the home slice at the time.
+ * Queue of updates to homes. A transient state is sent once, because a census asks for it anyway. A final
+ * state is resent until the home acknowledges it, to whichever entry owns the home slice at the time.
  */
 import type { Millis, Timer } from "../../common/clock.js";
 import { type TaskUpdate, TaskUpdateState } from "../../connection/messages.js";
 import type { RoleContext } from "../roles.js";
 
-/** Updates wait this long for others to share a message. */
+/** Delay before a flush, so that several updates share a message. */
 const FLUSH_DELAY_MS: Millis = 5;
-const REPEAT_MS: Millis = 2_000;
-const MAX_UPDATES_PER_NOTE = 500;
+const REPEAT_INTERVAL_MS: Millis = 2_000;
+const MAX_UPDATES_PER_MESSAGE = 500;
 
-/** States that a later update replaces: they need not be acknowledged. */
-const PASSING_STATES: readonly TaskUpdate["state"][] = [
+/** States that a later update replaces, so they need no acknowledgement. */
+const TRANSIENT_STATES: readonly TaskUpdate["state"][] = [
     TaskUpdateState.queued,
     TaskUpdateState.granted,
     TaskUpdateState.running,
 ];
 
-/** Collects updates by home slice and sends them. */
+/** Batches updates by home slice and sends them. */
 export class UpdateOutbox {
-    private readonly fresh = new Map<number, Map<string, TaskUpdate>>();
-    /** Ends sent and not acknowledged. */
+    private readonly queued = new Map<number, Map<string, TaskUpdate>>();
+    /** Final updates sent and not acknowledged, and updates that could not be sent. */
     private readonly unacknowledged = new Map<number, Map<string, TaskUpdate>>();
     private flushTimer: Timer | undefined;
     private repeatTimer: Timer | undefined;
@@ -31,15 +31,18 @@
         this.scheduleRepeat();
     }
 
-    /** Queues an update. */
+    /** Queues an update, replacing a queued one of the same attempt. */
     post(homeSlice: number, update: TaskUpdate): void {
-        putInto(this.fresh, homeSlice, update);
+        putInto(this.queued, homeSlice, update);
         this.flushTimer ??= this.context.clock.schedule(FLUSH_DELAY_MS, () => this.flush());
     }
 
-    /** Drops what is known of an attempt, because its home knows its end or asked for it to be forgotten. */
+    /**
+     * Drops the updates of an attempt: its home has acknowledged the end, or the next owner of its worker
+     * reports it.
+     */
     drop(homeSlice: number, attempt: string): void {
-        this.fresh.get(homeSlice)?.delete(attempt);
+        this.queued.get(homeSlice)?.delete(attempt);
         this.unacknowledged.get(homeSlice)?.delete(attempt);
     }
 
@@ -49,11 +52,11 @@
         this.repeatTimer?.cancel();
     }
 
-    /** Sends what is queued now. */
+    /** Sends the queued updates immediately. */
     flush(): void {
         this.flushTimer = undefined;
-        for (const [homeSlice, updates] of this.fresh) {
-            this.fresh.delete(homeSlice);
+        for (const [homeSlice, updates] of this.queued) {
+            this.queued.delete(homeSlice);
             const sent = this.send(homeSlice, [...updates.values()]);
             for (const update of updates.values()) {
                 if (!sent || needsAcknowledgement(update)) {
@@ -64,10 +67,10 @@
     }
 
     private scheduleRepeat(): void {
-        this.repeatTimer = this.context.clock.schedule(REPEAT_MS, () => {
+        this.repeatTimer = this.context.clock.schedule(REPEAT_INTERVAL_MS, () => {
             for (const [homeSlice, updates] of this.unacknowledged) {
                 this.send(homeSlice, [...updates.values()]);
-                this.dropSent(homeSlice, updates);
+                this.dropTransient(homeSlice, updates);
             }
             if (!this.closed) {
                 this.scheduleRepeat();
@@ -75,7 +78,7 @@
         });
     }
 
-    private dropSent(homeSlice: number, updates: Map<string, TaskUpdate>): void {
+    private dropTransient(homeSlice: number, updates: Map<string, TaskUpdate>): void {
         for (const update of [...updates.values()]) {
             if (!needsAcknowledgement(update)) {
                 updates.delete(update.attempt);
@@ -92,8 +95,8 @@
             return false;
         }
         let sent = true;
-        for (let start = 0; start < updates.length; start += MAX_UPDATES_PER_NOTE) {
-            const part = updates.slice(start, start + MAX_UPDATES_PER_NOTE);
+        for (let start = 0; start < updates.length; start += MAX_UPDATES_PER_MESSAGE) {
+            const part = updates.slice(start, start + MAX_UPDATES_PER_MESSAGE);
             sent = this.context.peers.note(owner.memberId, { kind: "updates", homeSlice, updates: part }) &&
                 sent;
         }
@@ -102,7 +105,7 @@
 }
 
 function needsAcknowledgement(update: TaskUpdate): boolean {
-    return !PASSING_STATES.includes(update.state);
+    return !TRANSIENT_STATES.includes(update.state);
 }
 
 function putInto(index: Map<number, Map<string, TaskUpdate>>, homeSlice: number, update: TaskUpdate): void {
--- a/src/process/placer/worker-clock.ts
+++ b/src/process/placer/worker-clock.ts
@@ -1,31 +1,34 @@
 /**
- * What an owner knows of a worker's monotonic clock, and the bound on the leases it has granted there.
+ * An owner's estimate of a worker's monotonic clock, and the bound on the leases it has granted to that
+ * worker.
  *
- * @remarks A worker's reading was taken between the sending of a call and the arrival of its answer. Taking the
- * arrival makes every instant computed here early on the worker's clock, never late.
+ * @remarks A worker reads its clock between the sending of a call and the arrival of the answer. Pairing the
+ * reading with the arrival time makes every deadline computed here early on the worker's clock, never late.
  */
 import type { Millis } from "../../common/clock.js";
 import type { OrderFence } from "../ports/worker-port.js";
 
-/** Orders are refused by the worker this long after they were sent, so that a delayed one does no harm. */
+/**
+ * How long after sending a worker still accepts an order; later it refuses it, so delayed orders do no harm.
+ */
 export const ORDER_WINDOW_MS: Millis = 2_000;
 
-/** Clock and lease knowledge of one attached worker. */
+/** Clock estimate and lease bound of one worker. */
 export class WorkerClock {
     private reading:
         | { readonly bootId: string; readonly workerNow: Millis; readonly arrivedAt: Millis; }
         | undefined;
     private leaseBound: Millis = Number.NEGATIVE_INFINITY;
 
-    /** @param drift - Share by which two clocks may drift apart. */
+    /** @param drift - Largest relative drift between two clocks, as a fraction. */
     constructor(private readonly drift: number) {}
 
-    /** Takes a reading from a report. */
+    /** Records the worker's clock as read in a report. */
     observe(bootId: string, workerNow: Millis, arrivedAt: Millis): void {
         this.reading = { bootId, workerNow, arrivedAt };
     }
 
-    /** Boot of the last reading. */
+    /** Boot id of the last reading, or undefined before the first. */
     getBootId(): string | undefined {
         return this.reading?.bootId;
     }
@@ -33,7 +36,7 @@
     /**
      * Builds the fence of an order.
      * @param epoch - Epoch of the slice.
-     * @param latest - Instant of this entry's clock after which the worker must not take it.
+     * @param latest - Time on this entry's clock after which the worker must not accept the order.
      * @returns The fence, or undefined before the first reading.
      */
     buildFence(epoch: number, latest: Millis): OrderFence | undefined {
@@ -49,15 +52,15 @@
     }
 
     /**
-     * Records that a renewal is about to be sent: it may reach the worker as late as `latest`.
-     * @param latest - Latest instant at which the worker may take it.
-     * @param leaseMs - Lease that it grants.
+     * Raises the lease bound for a lease that the worker may be granted as late as `latest`.
+     * @param latest - Time on this entry's clock.
+     * @param leaseMs - Duration of the lease.
      */
-    extendBound(latest: Millis, leaseMs: Millis): void {
+    extendLeaseBound(latest: Millis, leaseMs: Millis): void {
         this.leaseBound = Math.max(this.leaseBound, latest + leaseMs * (1 + this.drift));
     }
 
-    /** Instant by which the leases granted here have surely ended; the owner before may have granted others. */
+    /** Time by which all leases granted here have ended; a previous owner may have granted others. */
     getLeaseBound(): Millis {
         return this.leaseBound;
     }
--- a/src/process/placer/worker-fleet.ts
+++ b/src/process/placer/worker-fleet.ts
@@ -1,4 +1,7 @@
-/** The workers of the slices that this entry owns: sessions, readiness, and which of them are open for new work. */
+/**
+ * The workers of the slices that this entry owns: their sessions, the slices' readiness, and which are open
+ * to new work.
+ */
 import type { Millis, Timer } from "../../common/clock.js";
 import type { SliceStatus } from "../../connection/messages.js";
 import type { CellSettings } from "../../version/settings.js";
@@ -13,10 +16,10 @@
 
 const LIST_INTERVAL_MS: Millis = 1_000;
 const LIST_TIMEOUT_MS: Millis = 2_000;
-/** Reads of the VM list by two entries differ by at most this; docs/ASSUMPTIONS.md. */
+/** Two entries' reads of the VM list differ in age by at most this; see docs/ASSUMPTIONS.md. */
 const LIST_SKEW_MS: Millis = 2_000;
 
-/** What {@link WorkerFleet} is given. */
+/** Options of {@link WorkerFleet}. */
 export interface FleetOptions {
     readonly context: RoleContext;
     readonly core: PlacementCore;
@@ -24,36 +27,38 @@
     readonly vmList: VmListPort;
     readonly port: WorkerPort;
     getCell(): CellSettings;
-    /** Slice of a rack, or undefined while the table does not list its domain. */
+    /** Slice of the VM's rack, or undefined while the ownership table does not list its failure domain. */
     findSlice(vm: VmRecord): number | undefined;
-    /** Whether a majority knows of the table by which a slice was taken. */
+    /** Whether a majority of members has an ownership table of at least this revision. */
     isKnownByMajority(revision: number): boolean;
     readonly listener: SessionListener;
     /** Called when a worker was opened or closed to new work. */
     handleWorkersChange(): void;
-    /** Called for each attempt on a worker that the fleet gives up, without its tasks having ended. */
+    /** Called when the session of a worker is dropped; the worker's tasks may still be running. */
     handleDropped(session: WorkerSession): void;
 }
 
-interface OpenSlice {
+interface SliceState {
     readonly slice: number;
     readonly epoch: number;
     readonly openedAt: Millis;
     readonly revision: number;
     readonly predecessor: Predecessor;
-    knownAt: Millis | undefined;
+    /** When a majority of members was first known to have the ownership table of `revision`. */
+    majorityKnownAt: Millis | undefined;
+    /** When the first read of the VM list since the slice was opened began. */
     listedAt: Millis | undefined;
     ready: boolean;
 }
 
-/** Keeps a session to each worker of the owned slices. */
+/** Maintains a session with each worker of the owned slices. */
 export class WorkerFleet {
-    private readonly slices = new Map<number, OpenSlice>();
+    private readonly slices = new Map<number, SliceState>();
     private readonly sessions = new Map<string, WorkerSession>();
     private readonly openWorkers = new Set<string>();
-    /** Slices being handed over. */
+    /** Slices in a handover: their workers get no new work. */
     private readonly sealed = new Set<number>();
-    /** When this entry first saw each VM in the list. */
+    /** When this entry first saw each worker in the VM list. */
     private readonly firstSeen = new Map<string, Millis>();
     private vms: readonly VmRecord[] = [];
     private timer: Timer | undefined;
@@ -81,7 +86,7 @@
             openedAt: context.clock.now(),
             revision: context.ownership.getRevision(),
             predecessor,
-            knownAt: undefined,
+            majorityKnownAt: undefined,
             listedAt: undefined,
             ready: false,
         });
@@ -89,13 +94,13 @@
         void this.poll();
     }
 
-    /** Opens no worker of a slice to new work any more; what runs there goes on. */
+    /** Closes the workers of a slice to new work; running work continues. */
     sealSlice(slice: number): void {
         this.sealed.add(slice);
         this.sessions.forEach(session => this.refreshOpen(session));
     }
 
-    /** Ends the sessions of a slice. */
+    /** Closes the sessions of a slice. */
     closeSlice(slice: number): void {
         this.slices.delete(slice);
         this.sealed.delete(slice);
@@ -114,22 +119,22 @@
         return this.slices.get(slice)?.epoch === epoch;
     }
 
-    /** Whether any worker lies in an owned slice. */
+    /** Whether this entry has a session with any worker of the slice. */
     hasWorkers(slice: number): boolean {
         return [...this.sessions.values()].some(session => session.slice === slice);
     }
 
-    /** Failure domains in the VM list, for the ownership table. */
+    /** Lists the failure domains of the VM list, for the ownership table. */
     listDomains(): readonly string[] {
         return [...new Set(this.vms.map(vm => vm.failureDomain))];
     }
 
-    /** Whether a worker takes new work. */
+    /** Whether a worker accepts new work. */
     isOpen(session: WorkerSession): boolean {
         return this.sessions.get(session.workerId) === session && this.describeState(session) === "open";
     }
 
-    /** Opens or closes a worker in the core by everything that is known of it. */
+    /** Recomputes whether a worker is open to new work and sets this in the placement core. */
     refreshOpen(session: WorkerSession): void {
         const isOpen = this.isOpen(session);
         this.options.core.setWorkerOpen(session.workerId, isOpen);
@@ -191,8 +196,8 @@
     }
 
     /**
-     * A worker that compares no epochs takes orders of the owner before until that owner's store lease has surely
-     * ended: new work there has to wait for it.
+     * Whether a worker that does not compare epochs may get new work. It accepts orders of the previous owner
+     * until that owner's store lease has ended, so after the loss of an owner new work has to wait that long.
      */
     private mayUseLeaseOnly(session: WorkerSession): boolean {
         const slice = this.slices.get(session.slice);
@@ -218,7 +223,7 @@
             return;
         }
         this.polling = true;
-        const askedAt = this.options.context.clock.now();
+        const requestedAt = this.options.context.clock.now();
         const vms = await this.options.vmList.list(LIST_TIMEOUT_MS);
         this.polling = false;
         if (this.closed) {
@@ -226,8 +231,8 @@
         }
         if (vms !== undefined) {
             this.vms = vms;
-            this.trackSeen();
-            this.markListed(askedAt);
+            this.trackFirstSeen();
+            this.markListed(requestedAt);
             this.syncSessions();
         }
         this.options.health.takeReadmitted();
@@ -243,7 +248,7 @@
         }
     }
 
-    private trackSeen(): void {
+    private trackFirstSeen(): void {
         const now = this.options.context.clock.now();
         for (const { workerId } of this.vms) {
             this.firstSeen.set(workerId, this.firstSeen.get(workerId) ?? now);
@@ -257,8 +262,9 @@
     }
 
     /**
-     * A VM that another entry may not see yet takes no work: an owner that took its slice now would read the list,
-     * find no such worker, and declare the slice ready with tasks on it that it does not know.
+     * Whether a VM is so new that other entries may not see it in the list yet. Such a VM gets no work: an
+     * entry that took over its slice now would not find it in the list and would declare the slice ready
+     * without knowing its tasks.
      */
     private isNew(workerId: string): boolean {
         const seenAt = this.firstSeen.get(workerId) ?? this.options.context.clock.now();
@@ -266,7 +272,7 @@
     }
 
     private syncSessions(): void {
-        const wanted = new Map<string, { readonly vm: VmRecord; readonly slice: OpenSlice; }>();
+        const wanted = new Map<string, { readonly vm: VmRecord; readonly slice: SliceState; }>();
         for (const vm of this.vms) {
             const slice = this.slices.get(this.options.findSlice(vm) ?? -1);
             if (slice !== undefined) {
@@ -288,7 +294,7 @@
         }
     }
 
-    private openSession(vm: VmRecord, slice: OpenSlice): void {
+    private openSession(vm: VmRecord, slice: SliceState): void {
         const session = new WorkerSession({
             context: this.options.context,
             port: this.options.port,
@@ -312,12 +318,12 @@
         this.options.handleDropped(session);
     }
 
-    /** A slice is ready once the tasks of each of its workers are known, or have surely ended. */
+    /** Marks slices as ready once the tasks of each of their workers are known or have certainly ended. */
     private refreshReady(): void {
         const { clock } = this.options.context;
         for (const slice of this.slices.values()) {
-            if (slice.knownAt === undefined && this.options.isKnownByMajority(slice.revision)) {
-                slice.knownAt = clock.now();
+            if (slice.majorityKnownAt === undefined && this.options.isKnownByMajority(slice.revision)) {
+                slice.majorityKnownAt = clock.now();
             }
             if (!slice.ready && slice.listedAt !== undefined) {
                 slice.ready = [...this.sessions.values()]
@@ -328,10 +334,10 @@
     }
 
     /**
-     * Instant by which a worker that was never reached here has surely ended the tasks of the owner before;
+     * Time by which a worker that was never reached from here has ended the tasks of the previous owner;
      * docs/design/ownership.md lists the cases.
      */
-    private getPredecessorBound(slice: OpenSlice): Millis {
+    private getPredecessorBound(slice: SliceState): Millis {
         if (slice.predecessor === Predecessor.none) {
             return slice.openedAt;
         }
@@ -340,11 +346,11 @@
         if (slice.predecessor === Predecessor.released) {
             return slice.openedAt + lease;
         }
-        const byTime = slice.openedAt + cell.outageToleranceMs * (1 + cell.clockDrift) + lease;
-        if (slice.knownAt === undefined) {
-            return byTime;
+        const timeBound = slice.openedAt + cell.outageToleranceMs * (1 + cell.clockDrift) + lease;
+        if (slice.majorityKnownAt === undefined) {
+            return timeBound;
         }
-        const stop = Math.max(cell.freshMs, cell.memberTtlMs) * (1 + cell.clockDrift);
-        return Math.min(byTime, slice.knownAt + stop + lease);
+        const stopDelay = Math.max(cell.freshMs, cell.memberTtlMs) * (1 + cell.clockDrift);
+        return Math.min(timeBound, slice.majorityKnownAt + stopDelay + lease);
     }
 }
--- a/src/process/placer/worker-health.ts
+++ b/src/process/placer/worker-health.ts
@@ -1,34 +1,36 @@
 /**
- * Ejects workers that fail what others do well.
+ * Ejects workers that fail work which succeeds on other workers.
  *
- * @remarks The failure it guards against: a worker that fails everything at once looks free and draws all work
- * to itself. It shows as a burst of failures from one worker. A task that fails everywhere must not eject the
- * fleet, so failures are held against a worker only while other workers' recent results are mostly good and the
- * failing branch succeeds elsewhere; a cap bounds how many workers are out at once.
+ * @remarks A worker that fails everything immediately always looks free and would attract all work. A task
+ * that fails everywhere must not eject the whole fleet, so a failure counts against a worker only if the
+ * branch fails on fewer than half of the other workers that ran it; a cap limits how many workers are ejected
+ * at once.
  */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
 
 /** Longest ejection, as a multiple of `cell.ejectionMs`. */
 const MAX_EJECTION_FACTOR = 16;
-/** Weight of the newest result in a failure rate. */
+/** Weight of the latest result in the exponentially weighted failure rate. */
 const RATE_WEIGHT = 0.2;
-/** Share of failures in a branch, over other workers, above which the branch itself is to blame. */
-const BLAME_BRANCH_SHARE = 0.5;
+/**
+ * A worker fails a branch if its failure rate there is above this; the branch itself is at fault if at least
+ * this share of the other workers fails it.
+ */
+const BRANCH_FAILURE_SHARE = 0.5;
 
-interface Health {
-    /** Failures in a row. */
-    failures: number;
+interface WorkerState {
+    consecutiveFailures: number;
     ejectedUntil: Millis | undefined;
-    /** Doubles with each ejection, back to 1 after a success. */
-    factor: number;
-    /** Set after an ejection until the first result: one more failure ejects again. */
-    onTrial: boolean;
+    /** Multiplier of the ejection time; doubles with each ejection and returns to 1 after a success. */
+    ejectionFactor: number;
+    /** Set by an ejection until the first success: a single failure ejects the worker again. */
+    onProbation: boolean;
 }
 
-/** Judges the workers of one placer by the results of what ran on them. */
+/** Tracks the health of one placer's workers by the results of the work that ran on them. */
 export class WorkerHealth {
-    private readonly workers = new Map<string, Health>();
+    private readonly workers = new Map<string, WorkerState>();
     /** Failure rate by branch and worker, exponentially weighted. */
     private readonly branchRates = new Map<string, Map<string, number>>();
 
@@ -39,7 +41,12 @@
 
     add(workerId: string): void {
         if (!this.workers.has(workerId)) {
-            this.workers.set(workerId, { failures: 0, ejectedUntil: undefined, factor: 1, onTrial: false });
+            this.workers.set(workerId, {
+                consecutiveFailures: 0,
+                ejectedUntil: undefined,
+                ejectionFactor: 1,
+                onProbation: false,
+            });
         }
     }
 
@@ -48,62 +55,63 @@
     }
 
     /**
-     * Takes in a result.
-     * @returns Whether the worker was ejected by it.
+     * Records a result.
+     * @returns Whether it caused the worker to be ejected.
      */
     observe(workerId: string, branch: string, failed: boolean): boolean {
-        const health = this.workers.get(workerId);
+        const state = this.workers.get(workerId);
         this.trackBranch(branch, workerId, failed);
-        if (health === undefined) {
+        if (state === undefined) {
             return false;
         }
         if (!failed) {
-            health.failures = 0;
-            health.factor = 1;
-            health.onTrial = false;
+            state.consecutiveFailures = 0;
+            state.ejectionFactor = 1;
+            state.onProbation = false;
             return false;
         }
-        // Work that was under way when it was ejected fails too: that is not a second reason.
-        if (this.isEjected(workerId) || this.isBranchToBlame(branch, workerId)) {
+        // Work already running when the worker was ejected may fail too; it must not extend the ejection.
+        if (this.isEjected(workerId) || this.isBranchFailing(branch, workerId)) {
             return false;
         }
-        health.failures++;
-        const limit = health.onTrial ? 1 : this.getCell().ejectionFailures;
-        if (health.failures < limit || !this.hasRoomToEject()) {
+        state.consecutiveFailures++;
+        const limit = state.onProbation ? 1 : this.getCell().ejectionFailures;
+        if (state.consecutiveFailures < limit || !this.canEject()) {
             return false;
         }
-        health.ejectedUntil = this.clock.now() + this.getCell().ejectionMs * health.factor;
-        health.factor = Math.min(MAX_EJECTION_FACTOR, health.factor * 2);
-        health.failures = 0;
-        health.onTrial = true;
+        state.ejectedUntil = this.clock.now() + this.getCell().ejectionMs * state.ejectionFactor;
+        state.ejectionFactor = Math.min(MAX_EJECTION_FACTOR, state.ejectionFactor * 2);
+        state.consecutiveFailures = 0;
+        state.onProbation = true;
         return true;
     }
 
-    /** Whether a worker is out now. */
+    /** Whether a worker is ejected now. */
     isEjected(workerId: string): boolean {
         const until = this.workers.get(workerId)?.ejectedUntil;
         return until !== undefined && this.clock.now() < until;
     }
 
-    /** Lists workers whose ejection has ended since the last call; they come back on trial. */
+    /** Takes the workers whose ejection has ended since the last call; they return on probation. */
     takeReadmitted(): readonly string[] {
         const now = this.clock.now();
         const readmitted: string[] = [];
-        for (const [workerId, health] of this.workers) {
-            if (health.ejectedUntil !== undefined && now >= health.ejectedUntil) {
-                health.ejectedUntil = undefined;
+        for (const [workerId, state] of this.workers) {
+            if (state.ejectedUntil !== undefined && now >= state.ejectedUntil) {
+                state.ejectedUntil = undefined;
                 readmitted.push(workerId);
             }
         }
         return readmitted;
     }
 
-    private hasRoomToEject(): boolean {
+    private canEject(): boolean {
         let ejected = 0;
         for (const workerId of this.workers.keys()) {
             ejected += this.isEjected(workerId) ? 1 : 0;
         }
-        // At least one may always be out when there is more than one worker, or a small cell could eject none.
+        // With more than one worker, one may always be ejected; by the share alone a small cell could eject
+        // none.
         const cap = Math.max(
             this.workers.size > 1 ? 1 : 0,
             Math.floor(this.workers.size * this.getCell().ejectionCap),
@@ -118,13 +126,13 @@
         rates.set(workerId, rate + (Number(failed) - rate) * RATE_WEIGHT);
     }
 
-    /** Whether the branch fails on most other workers too. */
-    private isBranchToBlame(branch: string, workerId: string): boolean {
+    /** Whether the branch fails on at least half of the other workers that ran it. */
+    private isBranchFailing(branch: string, workerId: string): boolean {
         const others = [...this.branchRates.get(branch) ?? []].filter(([other]) => other !== workerId);
         if (others.length === 0) {
             return false;
         }
-        const failing = others.filter(([, rate]) => rate > BLAME_BRANCH_SHARE).length;
-        return failing / others.length >= BLAME_BRANCH_SHARE;
+        const failing = others.filter(([, rate]) => rate > BRANCH_FAILURE_SHARE).length;
+        return failing / others.length >= BRANCH_FAILURE_SHARE;
     }
 }
--- a/src/process/placer/worker-session.ts
+++ b/src/process/placer/worker-session.ts
@@ -1,7 +1,4 @@
-/**
- * The task that owns the conversation with one worker: attach, renewals, orders, and the judgement that the
- * worker is lost.
- */
+/** The session with one worker: attaching, lease renewals, orders, and detection of the worker's loss. */
 import { type Millis, sleep, type Timer } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
 import type { VmRecord } from "../ports/vm-list-port.js";
@@ -18,39 +15,43 @@
 import type { RoleContext } from "../roles.js";
 import { ORDER_WINDOW_MS, WorkerClock } from "./worker-clock.js";
 
-/** Longest time a worker holds a renewal back while nothing changes. */
+/** Longest time that a worker delays its answer to a renewal while it has no change to report. */
 const RENEW_WAIT_MS: Millis = 2_500;
-/** Renewals are at least this far apart, so that many short tasks share a report. */
-const RENEW_PACE_MS: Millis = 20;
+/** Minimum interval between renewals, so that the results of many short tasks share a report. */
+const RENEW_MIN_INTERVAL_MS: Millis = 20;
 const ATTACH_TIMEOUT_MS: Millis = 2_000;
 const RETRY_MIN_MS: Millis = 100;
 const RETRY_MAX_MS: Millis = 3_000;
-/** Time without a right to act before it is asked again. */
-const STANDING_POLL_MS: Millis = 100;
+/** Interval between checks of whether this entry may act again. */
+const AUTHORITY_POLL_MS: Millis = 100;
 const LOST_CHECK_MS: Millis = 250;
 
-/** What a session tells its placer. */
+/** Receives the events of a session. */
 export interface SessionListener {
-    /** The worker answered an attach: the report lists everything it has. `restarted`: its tasks of before are gone. */
+    /**
+     * The worker answered an attach; the report lists all its tasks.
+     * @param restarted - Whether the worker has restarted since the last report, so that its earlier tasks
+     * are gone.
+     */
     handleAttached(session: WorkerSession, report: WorkerReport, restarted: boolean): void;
-    /** The worker answered a renewal: the report lists what changed. */
+    /** The worker answered a renewal; the report lists what changed. */
     handleReport(session: WorkerSession, report: WorkerReport): void;
-    /** Contact broke; nothing new goes there until the next report. */
+    /** The worker stopped answering; it gets no new work until its next report. */
     handleUnreachable(session: WorkerSession): void;
-    /** Every task that was on the worker has surely ended. */
+    /** Every task that was on the worker has certainly ended. */
     handleLost(session: WorkerSession): void;
     /** The worker has a newer owner. */
     handleFenced(session: WorkerSession): void;
 }
 
-/** What {@link WorkerSession} is given. */
+/** Options of {@link WorkerSession}. */
 export interface SessionOptions {
     readonly context: Pick<RoleContext, "clock" | "random" | "log" | "metrics" | "ownership">;
     readonly port: WorkerPort;
     readonly vm: VmRecord;
     readonly slice: number;
     readonly epoch: number;
-    /** Instant by which the predecessor's tasks have ended if the worker is never reached. */
+    /** Time by which the previous owner's tasks have ended if the worker is never reached. */
     getPredecessorBound(): Millis;
     getCell(): CellSettings;
     readonly listener: SessionListener;
@@ -59,12 +60,12 @@
 /** Result of a start order. */
 export type StartResult =
     | { readonly kind: "started"; }
-    /** Proved: the worker refused it or never received it. */
+    /** Certain: the worker refused the order or never received it. */
     | { readonly kind: "notStarted"; readonly reason: string; }
-    /** The answer was lost: a later report tells. */
+    /** The answer was lost; a later report shows whether the task started. */
     | { readonly kind: "uncertain"; };
 
-/** One worker, from this entry's side. */
+/** Session of this entry with one worker. */
 export class WorkerSession {
     readonly workerId: string;
     readonly slice: number;
@@ -74,9 +75,9 @@
     private readonly clock: WorkerClock;
     private report: WorkerReport | undefined;
     private attached = false;
-    private contact = false;
+    private inContact = false;
     private lost = false;
-    private known = false;
+    private tasksKnown = false;
     private closed = false;
     private sequence = 0;
     private retryMs = RETRY_MIN_MS;
@@ -92,39 +93,39 @@
         this.clock = new WorkerClock(options.getCell().clockDrift);
     }
 
-    /** Starts to attach. */
+    /** Starts attaching to the worker and checking for its loss. */
     start(): void {
         void this.run();
         this.scheduleLostCheck();
     }
 
-    /** Stops the conversation; the worker's lease runs on. */
+    /** Ends the session; the worker's lease stays valid until it expires. */
     close(): void {
         this.closed = true;
         this.lostTimer?.cancel();
     }
 
-    /** Whether the worker is attached and answered lately. */
+    /** Whether the worker is attached and answered the last attach or renewal. */
     isReachable(): boolean {
-        return this.attached && this.contact;
+        return this.attached && this.inContact;
     }
 
-    /** Whether its tasks are known: attached once, or surely ended. */
+    /** Whether the worker's tasks are known, by an attach, or have certainly ended. */
     isSettled(): boolean {
-        return this.known || this.lost;
+        return this.tasksKnown || this.lost;
     }
 
-    /** The last report. */
+    /** The last report, or undefined before the first. */
     getReport(): WorkerReport | undefined {
         return this.report;
     }
 
-    /** Marks an ended task as durable elsewhere; the next renewal lets the worker forget it. */
+    /** Marks the end of a task as stored durably; with the next renewal the worker may drop the task. */
     acknowledge(attempt: string): void {
         this.acknowledged.push(attempt);
     }
 
-    /** Asks for everything again, to learn what became of an order whose answer was lost. */
+    /** Requests a full report by attaching again, to learn the outcome of an order whose answer was lost. */
     refresh(): void {
         this.attached = false;
     }
@@ -149,7 +150,10 @@
         }
     }
 
-    /** Stops, checkpoints or throttles a task; its end arrives in a report. */
+    /**
+     * Stops, checkpoints or throttles a task; the task's end arrives in a report.
+     * @returns Whether the worker confirmed the order.
+     */
     async orderTask(step: "stop" | "checkpoint" | "throttle", attempt: string): Promise<boolean> {
         const fence = this.buildOrderFence();
         if (fence === undefined) {
@@ -159,7 +163,7 @@
         return answer.kind === "done";
     }
 
-    /** Hands a service request to the worker. */
+    /** Sends a service request to the worker. */
     async serve(order: Omit<ServeOrder, keyof OrderFence>): Promise<WorkerAnswer<ServeReply>> {
         const fence = this.buildOrderFence();
         if (fence === undefined) {
@@ -175,11 +179,11 @@
     private async run(): Promise<void> {
         while (!this.closed) {
             if (!this.options.context.ownership.mayAct()) {
-                await sleep(this.options.context.clock, STANDING_POLL_MS);
+                await sleep(this.options.context.clock, AUTHORITY_POLL_MS);
                 continue;
             }
             const reached = this.attached ? await this.renew() : await this.attach();
-            const pause = reached ? RENEW_PACE_MS : this.takeRetryDelay();
+            const pause = reached ? RENEW_MIN_INTERVAL_MS : this.takeRetryDelay();
             await sleep(this.options.context.clock, pause);
         }
     }
@@ -190,7 +194,10 @@
         return delay;
     }
 
-    /** Attaches without extending leases: the worker's clock is not known yet, so a delay could not be bounded. */
+    /**
+     * Attaches without granting a lease: the worker's clock is not known yet, so the delay of the order could
+     * not be bounded.
+     */
     private async attach(): Promise<boolean> {
         const order = { epoch: this.epoch, notAfter: Number.MAX_SAFE_INTEGER, leaseMs: 0 };
         const answer = await this.options.port.attach(this.address, order, ATTACH_TIMEOUT_MS);
@@ -201,16 +208,16 @@
             this.handleRefusal(answer.reason);
         }
         if (answer.kind !== "done") {
-            this.handleSilence();
+            this.handleContactLost();
             return false;
         }
-        // The owner before may have renewed the leases just before this attach.
-        this.clock.extendBound(this.options.context.clock.now(), this.options.getCell().workerLeaseMs);
+        // The previous owner may have renewed the leases just before this attach.
+        this.clock.extendLeaseBound(this.options.context.clock.now(), this.options.getCell().workerLeaseMs);
         const before = this.clock.getBootId();
         const restarted = before !== undefined && before !== answer.value.bootId;
         this.acceptReport(answer.value);
         this.attached = true;
-        this.known = true;
+        this.tasksKnown = true;
         this.lost = false;
         this.options.listener.handleAttached(this, answer.value, restarted);
         return true;
@@ -233,7 +240,7 @@
             waitMs + ORDER_WINDOW_MS,
         );
         if (answer.kind !== "unavailable" && answer.kind !== "refused") {
-            this.clock.extendBound(latest, cell.workerLeaseMs);
+            this.clock.extendLeaseBound(latest, cell.workerLeaseMs);
         }
         if (this.closed) {
             return false;
@@ -245,12 +252,13 @@
         }
         this.acknowledged.push(...acknowledged);
         if (answer.kind === "refused") {
-            // Another boot, or a fence that came too late: the next attach learns the worker's state and clock.
+            // The worker has restarted, or the fence expired on the way; the next attach gets its state and
+            // clock.
             this.attached = false;
             this.handleRefusal(answer.reason);
             return false;
         }
-        this.handleSilence();
+        this.handleContactLost();
         return false;
     }
 
@@ -258,15 +266,18 @@
         this.clock.observe(report.bootId, report.workerNow, this.options.context.clock.now());
         this.report = report;
         this.sequence = report.sequence;
-        this.contact = true;
+        this.inContact = true;
         this.retryMs = RETRY_MIN_MS;
     }
 
-    /** From here on the worker is only asked for its state, by attaches, which extend no lease: so the bound stands. */
-    private handleSilence(): void {
+    /**
+     * Marks the worker as unreachable. From here on it only gets attaches, which extend no lease: the bound
+     * holds.
+     */
+    private handleContactLost(): void {
         this.attached = false;
-        if (this.contact) {
-            this.contact = false;
+        if (this.inContact) {
+            this.inContact = false;
             this.options.listener.handleUnreachable(this);
         }
     }
@@ -280,7 +291,7 @@
         }
     }
 
-    /** Latest instant at which an order sent now may be taken. */
+    /** Latest time at which the worker may accept an order that is sent now. */
     private getOrderDeadline(): Millis {
         const { clock, ownership } = this.options.context;
         const latest = clock.now() + ORDER_WINDOW_MS;
@@ -289,7 +300,7 @@
             latest;
     }
 
-    /** The fence of an order, or undefined when this entry must not send it. Checked right before sending. */
+    /** Builds the fence of an order right before sending; undefined if this entry must not send it. */
     private buildOrderFence(): OrderFence | undefined {
         const latest = this.getOrderDeadline();
         if (
@@ -302,12 +313,13 @@
     }
 
     /**
-     * Instant by which every task on the worker has surely ended. Once a worker that compares epochs was attached,
-     * the owner before can renew nothing there; otherwise its leases count as well.
+     * Time by which every task on the worker has certainly ended. Once a worker that compares epochs is
+     * attached, the previous owner can renew no lease there; otherwise the previous owner's leases count as
+     * well.
      */
     private getLostBound(): Millis {
         const own = this.clock.getLeaseBound();
-        const fenced = this.known && this.report?.comparesEpochs !== false;
+        const fenced = this.tasksKnown && this.report?.comparesEpochs !== false;
         return fenced ? own : Math.max(own, this.options.getPredecessorBound());
     }
 
@@ -321,11 +333,11 @@
     }
 
     /**
-     * Judges the worker lost once every lease that can exist on it has run out. Only while this entry may act:
-     * a new owner elsewhere could be renewing the worker's lease meanwhile.
+     * Declares the worker lost once every lease that it can hold has expired. This is done only while this
+     * entry may act: otherwise a new owner could be renewing the worker's lease.
      */
     private checkLost(): void {
-        if (this.closed || this.contact || this.lost || !this.options.context.ownership.mayAct()) {
+        if (this.closed || this.inContact || this.lost || !this.options.context.ownership.mayAct()) {
             return;
         }
         if (this.options.context.clock.now() > this.getLostBound()) {
--- a/src/process/router/index.ts
+++ b/src/process/router/index.ts
@@ -1,3 +1,3 @@
-/** The gateway of callers' interfaces. */
+/** The gateway between the callers' interfaces and the homes and placers. */
 export { createRouter, type RouterOptions } from "./router.js";
 export { findHomeSlice, makeJobIdFrom } from "./work-ids.js";
--- a/src/process/router/placer-choice.ts
+++ b/src/process/router/placer-selector.ts
@@ -1,34 +1,34 @@
-/** Which placer a service request goes to: the better of two picked at random by how full they are. */
+/** Selects the placer for a service request: the less loaded of two candidates picked at random. */
 import type { Random } from "../../common/random.js";
 import type { PeerHub } from "../roles.js";
 
-/** A placer that can be chosen. */
+/** A placer that can be selected. */
 interface Candidate {
     readonly memberId: string;
-    /** Free slots now, by the last digest less what was sent since. */
-    readonly room: number;
+    /** Free slots by the last digest, less the requests sent since; may be negative. */
+    readonly freeSlots: number;
     readonly slots: number;
-    /** Requests waiting or under way beyond the free slots. */
+    /** Queued requests, and requests sent since the last digest beyond the free slots. */
     readonly excess: number;
 }
 
-/** What {@link PlacerChoice} is given. */
-export interface PlacerChoiceOptions {
+/** Options of {@link PlacerSelector}. */
+export interface PlacerSelectorOptions {
     readonly random: Random;
     readonly peers: PeerHub;
     listMemberIds(): readonly string[];
 }
 
-/** Chooses placers and counts what was sent to each since its last digest. */
-export class PlacerChoice {
+/** Selects placers and counts the requests sent to each since its last digest. */
+export class PlacerSelector {
     private readonly sent = new Map<string, { sequence: number; count: number; }>();
 
-    constructor(private readonly options: PlacerChoiceOptions) {}
+    constructor(private readonly options: PlacerSelectorOptions) {}
 
     /**
-     * Chooses a placer for a try.
-     * @param avoid - Members to pass over if any other has workers.
-     * @returns The member and the one it was compared with, or undefined when no reachable member has workers.
+     * Selects a placer for an attempt and counts a request as sent to it.
+     * @param avoid - Members to skip if any other reachable member has slots.
+     * @returns The member and the one it was compared with, or undefined if no reachable member has slots.
      */
     choose(
         avoid: ReadonlySet<string>,
@@ -58,19 +58,19 @@
                 continue;
             }
             const sent = this.sent.get(memberId);
-            const since = sent?.sequence === digest.sequence ? sent.count : 0;
-            const room = digest.load.freeSlots - since;
+            const sentSinceDigest = sent?.sequence === digest.sequence ? sent.count : 0;
+            const available = digest.load.freeSlots - sentSinceDigest;
             candidates.push({
                 memberId,
-                room,
+                freeSlots: available,
                 slots: digest.load.totalSlots,
-                excess: digest.load.queuedRequests + Math.max(0, -room),
+                excess: digest.load.queuedRequests + Math.max(0, -available),
             });
         }
         return candidates;
     }
 
-    /** Picks in proportion to slots, so that a placer of few workers is not drowned. */
+    /** Picks with probability proportional to slots, so that a placer with few workers is not overloaded. */
     private pickBySlots(candidates: readonly Candidate[]): Candidate | undefined {
         const total = candidates.reduce((sum, candidate) => sum + candidate.slots, 0);
         if (total === 0) {
@@ -103,5 +103,5 @@
 }
 
 function getLoad(candidate: Candidate): number {
-    return (candidate.excess - Math.max(0, candidate.room)) / candidate.slots;
+    return (candidate.excess - Math.max(0, candidate.freeSlots)) / candidate.slots;
 }
--- a/src/process/router/retry-budget.ts
+++ b/src/process/router/retry-budget.ts
@@ -1,26 +1,32 @@
 /**
- * Bounds retries to a share of fresh requests.
+ * Limits retries to a share of new requests.
  *
- * @remarks The failure it guards against: workers that slow down or fail make every front try again, and the
- * retries finish them off. It shows as load on workers above what callers sent. The guard holds because a retry
- * takes a token and only fresh requests bring tokens; this is the only layer that retries service requests.
+ * @remarks Without a limit, every gateway would retry when workers slow down or fail, and the retries would
+ * overload the workers further. A retry takes a token, and only new requests add tokens. This is the only
+ * layer that retries service requests, so the limit is not multiplied by retries elsewhere.
  */
 
-/** Tokens kept at most: retries that may come in a burst after a quiet time. */
+/** Maximum number of tokens: the largest burst of retries after a quiet period. */
 const MAX_TOKENS = 100;
-/** Tokens at the start, so that the first failures of a new process can be retried. */
-const FIRST_TOKENS = 10;
+/** Initial number of tokens, so that the first failures of a new process can be retried. */
+const INITIAL_TOKENS = 10;
 
-/** The retry budget of one branch at one front. */
+/** The retry budget of one branch at one gateway. */
 export class RetryBudget {
-    private tokens = FIRST_TOKENS;
+    private tokens = INITIAL_TOKENS;
 
-    /** Counts a fresh request. @param retryShare - Retries allowed for each, from 0 to 1. */
-    recordFresh(retryShare: number): void {
+    /**
+     * Adds tokens for a new request.
+     * @param retryShare - Retries allowed per new request, from 0 to 1.
+     */
+    recordRequest(retryShare: number): void {
         this.tokens = Math.min(MAX_TOKENS, this.tokens + retryShare);
     }
 
-    /** Takes a token; returns whether there was one. */
+    /**
+     * Takes a token if one is left.
+     * @returns Whether there was one.
+     */
     tryTake(): boolean {
         if (this.tokens < 1) {
             return false;
--- a/src/process/router/router.ts
+++ b/src/process/router/router.ts
@@ -1,4 +1,6 @@
-/** The gateway of callers' interfaces: finds who handles a request or job, and brings back the answer. */
+/**
+ * The gateway: routes the callers' requests and jobs to the entries that handle them and returns the answers.
+ */
 import { type Millis, sleep } from "../../common/clock.js";
 import { buildNotRun, NotRunReason, type Outcome } from "../../common/outcome.js";
 import { makeUniqueId } from "../../common/random.js";
@@ -9,25 +11,22 @@
 import { ServiceRouter } from "./service-router.js";
 import { computeHomeSlice, findHomeSlice, makeJobIdFrom } from "./work-ids.js";
 
-/** Time between two tries to reach the owner of a home slice. */
+/** Interval between attempts to reach the owner of a home slice, and between repeated waits for a job. */
 const HOME_RETRY_MS: Millis = 100;
-/** Time after which a request whose home has no owner is refused. */
-const HOME_PATIENCE_MS: Millis = 3_000;
+/** Time after which a request is refused if no owner of its home slice could be reached. */
+const HOME_UNREACHABLE_TIMEOUT_MS: Millis = 3_000;
 const RETRY_AFTER_MS: Millis = 2_000;
 const EXPLAIN_TIMEOUT_MS: Millis = 1_000;
+/** Time that a call may take beyond the home's deadline, so that the home's own answer arrives first. */
 const ANSWER_GRACE_MS: Millis = 500;
 
-/** What {@link createRouter} is given beside the context. */
+/** Options of {@link createRouter}. */
 export interface RouterOptions {
     /** Whether the entry is shutting down. */
     isDraining(): boolean;
 }
 
-/**
- * Creates the gateway.
- * @param context - What every role is given.
- * @param options - The entry's own state.
- */
+/** Creates the gateway of an entry. */
 export function createRouter(context: RoleContext, options: RouterOptions): CallerGateway {
     return new Router(context, options);
 }
@@ -97,7 +96,10 @@
         return reply.kind === "explanation" ? await this.addPlacerLines(jobId, reply.lines) : reply;
     }
 
-    /** Waits for the end of a job; a home that gives the slice up answers early, and the next one is asked. */
+    /**
+     * Waits for the end of a job; a home that releases its slice answers early, and then the next owner is
+     * asked.
+     */
     private async waitAtHome(
         slice: number,
         request: Extract<HomeRequest, { kind: "waitJob"; }>,
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Adds what placers know of a job to what its home said; entries that do not answer are left out. */
+    /** Appends the placers' explanations of a job to its home's; entries that do not answer are left out. */
     private async addPlacerLines(jobId: string, lines: readonly string[]): Promise<HomeReply> {
         const { peers } = this.context;
         const answers = await Promise.all(
@@ -144,31 +146,31 @@
             deadlineMs: request.deadline - clock.now(),
         }, request.deadline - clock.now());
         const repeated = reply.kind === "outcome" && reply.repeated;
-        return { outcome: describeReply(reply), attempts: 1, repeated, treeVersion };
+        return { outcome: convertReply(reply), attempts: 1, repeated, treeVersion };
     }
 
     /**
-     * Asks the owner of a home slice until it answers or the time is over. Every request to a home may be repeated:
-     * the home knows it again by its job id or request key.
+     * Calls the owner of a home slice until it answers or the time is over. Every request to a home may be
+     * repeated, because the home recognizes it by its job id or request key.
      */
     private async callSlice(slice: number, request: HomeRequest, timeoutMs: Millis): Promise<HomeReply> {
         const { clock, ownership, peers } = this.context;
         const deadline = clock.now() + timeoutMs;
-        const unreachableAt = clock.now() + Math.min(timeoutMs, HOME_PATIENCE_MS);
+        const unreachableAt = clock.now() + Math.min(timeoutMs, HOME_UNREACHABLE_TIMEOUT_MS);
         let mayHaveArrived = false;
         for (;;) {
             const owner = ownership.getHomeSliceOwner(slice);
-            const left = deadline - clock.now();
-            if (owner !== undefined && left > 0) {
+            const remainingMs = deadline - clock.now();
+            if (owner !== undefined && remainingMs > 0) {
                 const body = {
                     kind: "home",
                     homeSlice: slice,
-                    request: withDeadline(request, left),
+                    request: withDeadline(request, remainingMs),
                 } as const;
-                const result = await peers.call(owner.memberId, body, left + ANSWER_GRACE_MS);
+                const result = await peers.call(owner.memberId, body, remainingMs + ANSWER_GRACE_MS);
                 if (
                     result.kind === "answer" && result.body.kind === "home" &&
-                    !isFromOldOwner(result.body.reply)
+                    !isFromPreviousOwner(result.body.reply)
                 ) {
                     return result.body.reply;
                 }
@@ -179,15 +181,18 @@
                 mayHaveArrived ||= !refused;
             }
             if (clock.now() >= (mayHaveArrived ? deadline : unreachableAt)) {
-                return buildGivenUp(mayHaveArrived);
+                return buildTimeoutReply(mayHaveArrived);
             }
             await sleep(clock, HOME_RETRY_MS);
         }
     }
 }
 
-/** An owner that is giving its slice up refuses; the next owner is asked. */
-function isFromOldOwner(reply: HomeReply): boolean {
+/**
+ * Whether the reply is the refusal of an owner that is releasing its slice, so that the next owner has to be
+ * asked.
+ */
+function isFromPreviousOwner(reply: HomeReply): boolean {
     return reply.kind === "refused" && reply.outcome.kind === "notRun" &&
         reply.outcome.reason === NotRunReason.notOwner;
 }
@@ -198,7 +203,7 @@
         request;
 }
 
-function buildGivenUp(mayHaveArrived: boolean): HomeReply {
+function buildTimeoutReply(mayHaveArrived: boolean): HomeReply {
     if (mayHaveArrived) {
         return {
             kind: "uncertain",
@@ -209,7 +214,7 @@
     return { kind: "refused", outcome: buildNotRun(NotRunReason.linkDown, remedy, RETRY_AFTER_MS) };
 }
 
-function describeReply(reply: HomeReply): Outcome {
+function convertReply(reply: HomeReply): Outcome {
     switch (reply.kind) {
         case "outcome":
         case "refused":
--- a/src/process/router/service-router.ts
+++ b/src/process/router/service-router.ts
@@ -1,4 +1,4 @@
-/** The way of a repeatable service request from this front to a placer, and its retries. */
+/** Routes repeatable service requests from this gateway to placers and retries them. */
 import { type Millis, sleep } from "../../common/clock.js";
 import { buildNotRun, NotRunReason, type Outcome } from "../../common/outcome.js";
 import type { ServeAnswer } from "../../connection/messages.js";
@@ -6,33 +6,34 @@
 import type { BranchSettings, SettingsVersion } from "../../version/settings.js";
 import { ORDER_WINDOW_MS } from "../placer/index.js";
 import type { CallResult, RoleContext, ServiceResult } from "../roles.js";
-import { PlacerChoice } from "./placer-choice.js";
+import { PlacerSelector } from "./placer-selector.js";
 import { RetryBudget } from "./retry-budget.js";
 
-/** Time to wait for a placer that has workers, and between looks. */
-const NO_PLACER_PATIENCE_MS: Millis = 500;
-const NO_PLACER_STEP_MS: Millis = 25;
-/** When to ask again while no placer can be reached. */
+/** How long to wait for a placer that has workers. */
+const NO_PLACER_TIMEOUT_MS: Millis = 500;
+/** Interval between checks for such a placer. */
+const NO_PLACER_POLL_MS: Millis = 25;
+/** Retry delay given to the caller while no placer can be reached. */
 const NO_PLACER_RETRY_MS: Millis = 1_000;
-/** Time that a call may take beyond the request's deadline: the placer answers by then. */
+/** Time that a call may take beyond the request's deadline, so that the placer's own answer arrives first. */
 const ANSWER_GRACE_MS: Millis = 250;
 
-/** Result of one try. */
-interface Try {
+/** Result of one attempt to run a request. */
+interface AttemptResult {
     readonly outcome: Outcome;
-    /** Whether another try can run nothing twice, now or from `safeAt` on. */
+    /** Whether another attempt, now or from `safeAt` on, cannot run at the same time as this one. */
     readonly retrySafe: boolean;
-    /** Instant by which a try whose answer was lost has surely ended on its worker. */
+    /** Time by which an attempt whose answer was lost has certainly ended on its worker. */
     readonly safeAt?: Millis;
 }
 
-/** Routes repeatable service requests. */
+/** Runs repeatable service requests by attempts at placers, within a retry budget for each branch. */
 export class ServiceRouter {
-    private readonly choice: PlacerChoice;
+    private readonly selector: PlacerSelector;
     private readonly budgets = new Map<string, RetryBudget>();
 
     constructor(private readonly context: RoleContext) {
-        this.choice = new PlacerChoice({
+        this.selector = new PlacerSelector({
             random: context.random,
             peers: context.peers,
             listMemberIds: () => context.ownership.listMembers().map(member => member.memberId),
@@ -41,9 +42,8 @@
 
     /**
      * Runs a request to its final outcome.
-     * @param request - The request.
-     * @param branch - Its branch in force.
-     * @param settings - The version in force.
+     * @param branch - The request's branch in the settings in force.
+     * @param settings - The settings in force.
      */
     async run(
         request: ServiceRequest,
@@ -51,30 +51,39 @@
         settings: SettingsVersion,
     ): Promise<ServiceResult> {
         const budget = this.getBudget(branch.path);
-        budget.recordFresh(branch.retryShare);
+        budget.recordRequest(branch.retryShare);
         const avoidMembers = new Set<string>();
         const avoidWorkers: string[] = [];
         let attempts = 0;
-        /** Outcome of the last try that ran or may have: "not run" would be untrue from then on. */
-        let ran: Outcome | undefined;
+        /**
+         * Outcome of the last attempt that ran or may have run; once set, the result must not be "not run".
+         */
+        let lastRunOutcome: Outcome | undefined;
         for (;;) {
             attempts++;
             const attempt = `${request.requestId}.${attempts}`;
-            const tried = await this.tryOnce(request, branch, attempt, settings, avoidMembers, avoidWorkers);
-            const final = !tried.retrySafe || attempts >= branch.maxAttempts ||
-                !this.isWorthRetrying(request, tried);
-            ran = tried.outcome.kind === "notRun" ? ran : tried.outcome;
+            const result = await this.runAttempt(
+                request,
+                branch,
+                attempt,
+                settings,
+                avoidMembers,
+                avoidWorkers,
+            );
+            const final = !result.retrySafe || attempts >= branch.maxAttempts ||
+                !this.isWorthRetrying(request, result);
+            lastRunOutcome = result.outcome.kind === "notRun" ? lastRunOutcome : result.outcome;
             if (final || !budget.tryTake()) {
                 return {
-                    outcome: ran ?? tried.outcome,
+                    outcome: lastRunOutcome ?? result.outcome,
                     attempts,
                     repeated: false,
                     treeVersion: settings.version,
                 };
             }
-            await sleep(this.context.clock, Math.max(0, (tried.safeAt ?? 0) - this.context.clock.now()));
-            if (tried.outcome.kind === "failed") {
-                avoidWorkers.push(tried.outcome.workerId);
+            await sleep(this.context.clock, Math.max(0, (result.safeAt ?? 0) - this.context.clock.now()));
+            if (result.outcome.kind === "failed") {
+                avoidWorkers.push(result.outcome.workerId);
             }
             this.context.metrics.count("front.retries", 1, { branch: branch.path });
         }
@@ -86,41 +95,44 @@
         return budget;
     }
 
-    private isWorthRetrying(request: ServiceRequest, tried: Try): boolean {
-        const earliest = Math.max(this.context.clock.now(), tried.safeAt ?? 0);
-        if (tried.outcome.kind === "done" || earliest >= request.deadline) {
+    private isWorthRetrying(request: ServiceRequest, result: AttemptResult): boolean {
+        const earliest = Math.max(this.context.clock.now(), result.safeAt ?? 0);
+        if (result.outcome.kind === "done" || earliest >= request.deadline) {
             return false;
         }
-        // A branch that is off, and a deadline that is certain to be missed, are the same at every placer.
-        return tried.outcome.kind !== "notRun" ||
-            (tried.outcome.reason !== NotRunReason.branchOff &&
-                tried.outcome.reason !== NotRunReason.deadline);
+        // A branch that is off and a deadline that cannot be met lead to the same refusal at every placer.
+        return result.outcome.kind !== "notRun" ||
+            (result.outcome.reason !== NotRunReason.branchOff &&
+                result.outcome.reason !== NotRunReason.deadline);
     }
 
-    /** Chooses a placer; while slices change hands, none may be known for a moment. */
+    /**
+     * Selects a placer, waiting for one if needed: while slices change owners, none may be known for a
+     * moment.
+     */
     private async choosePlacer(
         avoid: ReadonlySet<string>,
         deadline: Millis,
-    ): Promise<ReturnType<PlacerChoice["choose"]>> {
+    ): Promise<ReturnType<PlacerSelector["choose"]>> {
         const { clock } = this.context;
-        const giveUpAt = Math.min(deadline, clock.now() + NO_PLACER_PATIENCE_MS);
+        const waitUntil = Math.min(deadline, clock.now() + NO_PLACER_TIMEOUT_MS);
         for (;;) {
-            const chosen = this.choice.choose(avoid);
-            if (chosen !== undefined || clock.now() >= giveUpAt) {
+            const chosen = this.selector.choose(avoid);
+            if (chosen !== undefined || clock.now() >= waitUntil) {
                 return chosen;
             }
-            await sleep(clock, NO_PLACER_STEP_MS);
+            await sleep(clock, NO_PLACER_POLL_MS);
         }
     }
 
-    private async tryOnce(
+    private async runAttempt(
         request: ServiceRequest,
         branch: BranchSettings,
         attempt: string,
         settings: SettingsVersion,
         avoidMembers: Set<string>,
         avoidWorkers: readonly string[],
-    ): Promise<Try> {
+    ): Promise<AttemptResult> {
         const startedAt = this.context.clock.now();
         const chosen = await this.choosePlacer(avoidMembers, request.deadline);
         if (chosen === undefined) {
@@ -131,8 +143,8 @@
             };
         }
         avoidMembers.add(chosen.memberId);
-        const left = request.deadline - startedAt;
-        if (left <= 0) {
+        const remainingMs = request.deadline - startedAt;
+        if (remainingMs <= 0) {
             const remedy = "the deadline had passed before it could be sent: ask with a later one";
             return { outcome: buildNotRun(NotRunReason.deadline, remedy), retrySafe: false };
         }
@@ -142,7 +154,7 @@
             branch: request.branch,
             treeVersion: settings.version,
             chosen: chosen.memberId,
-            reason: "more free slots of two placers",
+            reason: "less loaded of two placers",
             runnersUp: chosen.runnersUp,
             tookUs: Math.round((this.context.clock.now() - startedAt) * 1_000),
         });
@@ -154,18 +166,19 @@
             branch: request.branch,
             body: request.body,
             contentType: request.contentType,
-            deadlineMs: left,
+            deadlineMs: remainingMs,
             avoid: avoidWorkers,
-        }, left + ANSWER_GRACE_MS);
-        // A placer that is only cut off may keep the request until its longest wait, and then run it.
+        }, remainingMs + ANSWER_GRACE_MS);
+        // A placer that cannot be reached from here may hold the request for the longest wait and run it
+        // after that.
         const longest = (branch.maxWaitMs + ORDER_WINDOW_MS + branch.attemptTimeoutMs) *
             (1 + settings.cell.clockDrift);
-        return describeTry(result, chosen.memberId, startedAt + longest + ANSWER_GRACE_MS);
+        return convertCallResult(result, chosen.memberId, startedAt + longest + ANSWER_GRACE_MS);
     }
 }
 
-/** What a call's result says of the request: only an answer, or a call never sent, proves anything. */
-function describeTry(result: CallResult, memberId: string, safeAt: Millis): Try {
+/** Converts a call's result. Only an answer, or a call that was not sent, proves whether the request ran. */
+function convertCallResult(result: CallResult, memberId: string, safeAt: Millis): AttemptResult {
     if (result.kind === "notSent") {
         const remedy = `entry ${memberId} was not reached: ask again`;
         return { outcome: buildNotRun(NotRunReason.linkDown, remedy, NO_PLACER_RETRY_MS), retrySafe: true };
--- a/src/process/router/work-ids.ts
+++ b/src/process/router/work-ids.ts
@@ -1,4 +1,4 @@
-/** Ids of jobs and keys of requests, and the home slice each belongs to. */
+/** Job ids and request keys, and the home slice that each belongs to. */
 import { createHash } from "node:crypto";
 import { hashText } from "../../common/hash.js";
 import { HOME_SLICES } from "../../version/settings.js";
@@ -6,9 +6,9 @@
 const ID_DIGITS = 24;
 
 /**
- * Makes the id of a job from what identifies it, equal at every entry.
- * @param team - Team of the caller: a key of one team never meets that of another.
- * @param key - Idempotency key, or a unique text where the caller gave none.
+ * Makes the id of a job from its team and key; every entry makes the same id.
+ * @param team - Team of the caller, so that equal keys of different teams are different jobs.
+ * @param key - Idempotency key, or a unique text if the caller gave none.
  * @returns `j<home slice>-<digits>`.
  */
 export function makeJobIdFrom(team: string, key: string): string {
@@ -19,7 +19,7 @@
 /**
  * Finds the home slice of a job.
  * @param jobId - Id as made by {@link makeJobIdFrom}.
- * @returns The slice, or undefined for a text that is no job id.
+ * @returns The slice, or undefined if the text is not a job id.
  */
 export function findHomeSlice(jobId: string): number | undefined {
     const match = /^j(\d{1,3})-[0-9a-f]+$/.exec(jobId);
@@ -28,8 +28,8 @@
 }
 
 /**
- * Finds the home slice of a request.
- * @param requestKey - Team and idempotency key or request id.
+ * Computes the home slice of a request.
+ * @param requestKey - Team, a slash, and the idempotency key or, without one, the request id.
  */
 export function computeHomeSlice(requestKey: string): number {
     return hashText(requestKey) % HOME_SLICES;
--- a/src/test/faults/cell.ts
+++ b/src/test/faults/cell.ts
@@ -5,7 +5,7 @@
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
 import { TABLE_KEY } from "../../process/ownership/index.js";
-import { addMember } from "../../process/ownership/plan.js";
+import { addMember } from "../../process/ownership/table-changes.js";
 import { buildEmptyTable, encodeTable } from "../../process/ownership/table.js";
 import type { VmRecord } from "../../process/ports/index.js";
 import type { Member } from "../../process/roles.js";
--- a/src/test/process/home/log/log-owner.ts
+++ b/src/test/process/home/log/log-owner.ts
@@ -1,7 +1,7 @@
-/** An owner of a home slice's log, for tests of the log alone. */
+/** Fixture: an owner of a home slice's log, without the rest of the home role. */
 import { createRandom } from "../../../../common/random.js";
 import { CommitPacer, openSlice, SliceLog } from "../../../../process/home/log/index.js";
-import type { AppendEnd, OpenResult } from "../../../../process/home/log/index.js";
+import type { FinalAppendResult, OpenResult } from "../../../../process/home/log/index.js";
 import type { HomeEntry } from "../../../../process/home/state/index.js";
 import type { StoreClient } from "../../../../process/store-client.js";
 import type { StoreModel } from "../../../../stand-ins/store-model.js";
@@ -13,16 +13,16 @@
 export const SLICE = 5;
 const PACER_RATE = 10_000;
 
-/** What became of the commits of an owner; `open` until it is told. */
-export interface CommitFate {
+/** A commit of an owner and its final result; `open` until the result is known. */
+export interface TrackedCommit {
     readonly key: string;
-    fate: AppendEnd["kind"] | "open";
+    result: FinalAppendResult["kind"] | "open";
 }
 
-/** One owner in its life. */
+/** One owner of the slice. */
 export class LogOwner {
     readonly clock: PausableClock;
-    /** The store, unless another client was given. */
+    /** The store client that is used unless another one was given. */
     readonly store: StoreForHome;
     private readonly client: StoreClient;
     log: SliceLog | undefined;
@@ -41,7 +41,7 @@
         this.client = makeClient?.(this.clock) ?? this.store;
     }
 
-    /** Opens the slice; the log is there when this resolves and nothing went wrong. */
+    /** Opens the slice; once this resolves, `log` is set unless the slice could not be opened. */
     async open(): Promise<void> {
         const context = {
             store: this.client,
@@ -63,13 +63,13 @@
         }
     }
 
-    /** Commits one entry and follows what becomes of it. */
-    commitKey(key: string, size = 0, patienceMs?: number): CommitFate {
-        const fate: CommitFate = { key, fate: "open" };
-        void this.log?.commit([makeEntry(key, size)], patienceMs).then(async result => {
-            fate.fate = result.kind === "uncertain" ? (await result.settled).kind : result.kind;
+    /** Commits one entry and tracks its result. */
+    commitKey(key: string, size = 0, timeoutMs?: number): TrackedCommit {
+        const tracked: TrackedCommit = { key, result: "open" };
+        void this.log?.commit([makeEntry(key, size)], timeoutMs).then(async result => {
+            tracked.result = result.kind === "uncertain" ? (await result.settled).kind : result.kind;
         });
-        return fate;
+        return tracked;
     }
 }
 
--- a/src/test/process/home/log/slice-log-faults_test.ts
+++ b/src/test/process/home/log/slice-log-faults_test.ts
@@ -1,4 +1,6 @@
-/** The log of a home slice over the real store client, whose calls are lost, late and refused at random. */
+/**
+ * The log of a home slice over the real store client, whose calls are lost, delayed and refused at random.
+ */
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -10,7 +12,7 @@
 import { FakeStorePort } from "../../../fakes/fake-store-port.js";
 import { createFakeLog, createFakeMetrics } from "../../../fakes/fake-telemetry.js";
 import type { PausableClock } from "../../../fakes/pausable-clock.js";
-import type { CommitFate } from "./log-owner.js";
+import type { TrackedCommit } from "./log-owner.js";
 import { LogOwner } from "./log-owner.js";
 
 const SLOTS = 4;
@@ -18,7 +20,9 @@
 
 interface Plan {
     readonly seed: number;
-    /** Shares of calls that are lost on the way, lose their answer, or are late by up to `delayMs`. */
+    /**
+     * Shares of calls whose request is lost, whose answer is lost, or that are delayed by up to `delayMs`.
+     */
     readonly dropRequest: number;
     readonly dropAnswer: number;
     readonly delay: number;
@@ -55,11 +59,11 @@
     ),
 });
 
-/** Plays one plan; owners follow each other, some of them waking up later. */
-class Play {
+/** Runs one plan: owners succeed each other, and some paused ones resume later. */
+class PlanRunner {
     private readonly clock = new FakeClock();
     private readonly model = new StoreModel(this.clock);
-    private readonly fates: CommitFate[] = [];
+    private readonly commits: TrackedCommit[] = [];
     private readonly paths: CallPath[] = [];
     private epoch = 0;
 
@@ -75,20 +79,20 @@
         await this.clock.step(60_000);
         owner.clock.pause();
         const last = await this.openOwner();
-        for (const { key, fate } of this.fates) {
+        for (const { key, result } of this.commits) {
             const isThere = last.log?.state.requests.has(key);
-            assert.ok(fate !== "durable" || isThere === true, `${key} was acknowledged and is lost`);
-            assert.ok(fate !== "notWritten" || isThere === false, `${key} was refused and is there`);
+            assert.ok(result !== "durable" || isThere === true, `${key} was acknowledged and is lost`);
+            assert.ok(result !== "notWritten" || isThere === false, `${key} was refused and is there`);
         }
     }
 
     private async runAct(act: Act, owner: LogOwner): Promise<LogOwner> {
         switch (act) {
             case "commit":
-                this.fates.push(owner.commitKey(`k${this.fates.length}`));
+                this.commits.push(owner.commitKey(`k${this.commits.length}`));
                 return owner;
             case "hastyCommit":
-                this.fates.push(owner.commitKey(`k${this.fates.length}`, 0, 1_000));
+                this.commits.push(owner.commitKey(`k${this.commits.length}`, 0, 1_000));
                 return owner;
             case "outage":
                 this.setOutage(true);
@@ -117,7 +121,7 @@
         });
     }
 
-    /** Opens the slice for the next owner; the store must be there for it. */
+    /** Opens the slice for the next owner, which needs an available store. */
     private async openOwner(): Promise<LogOwner> {
         this.setOutage(false);
         this.epoch++;
@@ -155,12 +159,13 @@
 }
 
 describe("the log over the store client", () => {
-    // Calls are lost before and after their effect, arrive up to 20 s late, the store goes and comes, owners pause,
-    // wake and die, in any mixture. A caller was told "accepted" or "not accepted": both must stay true.
+    // Guards against an acknowledged entry that is lost and a refused one that appears. Calls are lost before
+    // and after their effect or arrive up to 20 s late, the store fails and recovers, and owners pause,
+    // resume and crash.
     it("keeps what it acknowledged and never shows what it refused", async () => {
         await fc.assert(
             fc.asyncProperty(plans, async plan => {
-                await new Play(plan).run();
+                await new PlanRunner(plan).run();
             }),
             { seed: 7_301, numRuns: 300, endOnFailure: false },
         );
--- a/src/test/process/home/log/slice-log_test.ts
+++ b/src/test/process/home/log/slice-log_test.ts
@@ -1,4 +1,4 @@
-/** The log of a home slice under deaths, pauses, take-overs and lost answers. */
+/** The log of a home slice under crashes, pauses, takeovers and lost answers. */
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -6,11 +6,11 @@
 import { StoreModel } from "../../../../stand-ins/store-model.js";
 import { FakeClock } from "../../../fakes/fake-clock.js";
 import type { WriteFault } from "../store-for-home.js";
-import type { CommitFate } from "./log-owner.js";
+import type { TrackedCommit } from "./log-owner.js";
 import { LogOwner, SLICE } from "./log-owner.js";
 
 const SLOTS = 4;
-/** A ring that no snapshot covers yet after a few records. */
+/** Size of a ring large enough that a few records start no snapshot. */
 const WIDE_SLOTS = 16;
 
 /** One step of a random history. */
@@ -18,7 +18,7 @@
     | { readonly kind: "commit"; readonly count: number; readonly size: number; }
     | { readonly kind: "fault"; readonly fault: WriteFault; }
     | { readonly kind: "time"; readonly ms: number; }
-    /** The owner pauses, and another takes the slice; the first may wake later. */
+    /** The owner pauses, and another takes over the slice; the first may resume later. */
     | { readonly kind: "pauseAndTakeOver"; readonly wakes: boolean; }
     | { readonly kind: "killAndTakeOver"; };
 
@@ -61,11 +61,11 @@
     { minLength: 5, maxLength: 40 },
 );
 
-/** Plays a history and checks what a fresh owner reads back. */
-class History {
+/** Runs a history and checks the state that a new owner recovers. */
+class HistoryRunner {
     readonly clock = new FakeClock();
     readonly model = new StoreModel(this.clock);
-    readonly fates: CommitFate[] = [];
+    readonly commits: TrackedCommit[] = [];
     private epoch = 0;
     private keys = 0;
     private owner = this.makeOwner();
@@ -85,7 +85,7 @@
         switch (step.kind) {
             case "commit":
                 for (let index = 0; index < step.count; index++) {
-                    this.fates.push(this.owner.commitKey(`k${this.keys++}`, step.size));
+                    this.commits.push(this.owner.commitKey(`k${this.keys++}`, step.size));
                 }
                 break;
             case "fault":
@@ -95,11 +95,11 @@
                 await this.clock.step(step.ms);
                 break;
             case "pauseAndTakeOver": {
-                const before = this.owner;
-                before.clock.pause();
+                const previous = this.owner;
+                previous.clock.pause();
                 await this.takeOver();
                 if (step.wakes) {
-                    before.clock.resume();
+                    previous.clock.resume();
                 }
                 break;
             }
@@ -124,11 +124,11 @@
     private checkState(): void {
         const requests = this.owner.log?.state.requests;
         assert.ok(requests !== undefined);
-        for (const { key, fate } of this.fates) {
-            if (fate === "durable") {
+        for (const { key, result } of this.commits) {
+            if (result === "durable") {
                 assert.ok(requests.has(key), `${key} was acknowledged and is lost`);
             }
-            if (fate === "notWritten") {
+            if (result === "notWritten") {
                 assert.ok(!requests.has(key), `${key} was refused and is there`);
             }
         }
@@ -136,28 +136,29 @@
 }
 
 describe("the log of a home slice", () => {
-    // Owners die, pause, wake and lose answers at any write, while the ring wraps and snapshots are written. What
-    // a caller was told is kept must be found by every later owner; what was refused must never appear.
+    // Guards against an acknowledged entry that a later owner does not find and a refused one that appears.
+    // Owners crash, pause, resume and lose answers at any write, while the ring wraps and snapshots are
+    // written.
     it("keeps what it acknowledged and never shows what it refused", async () => {
         await fc.assert(
             fc.asyncProperty(steps, async history => {
-                await new History().run(history);
+                await new HistoryRunner().run(history);
             }),
             { seed: 20_261, numRuns: 400, endOnFailure: false },
         );
     });
 
-    // An operator looks at a slice that was replayed after a death in the middle of a batch: the state read back
-    // must be the one that the owner had, after any prefix of its log.
+    // Guards against a replay after a crash that gives another state than the owner had, after any prefix of
+    // its log.
     it("reads back the state that its owner had, after each record", async () => {
         const clock = new FakeClock();
         const model = new StoreModel(clock);
         let owner = new LogOwner(clock, model, 1, SLOTS);
         await clock.wait(owner.open(), 1_000);
         for (let index = 0; index < 30; index++) {
-            const fate = owner.commitKey(`k${index}`);
+            const commit = owner.commitKey(`k${index}`);
             await clock.step(200);
-            assert.equal(fate.fate, "durable");
+            assert.equal(commit.result, "durable");
             const had = owner.log === undefined ? [] : listSnapshotItems(owner.log.state);
             owner = new LogOwner(clock, model, index + 2, SLOTS);
             await clock.wait(owner.open(), 1_000);
@@ -165,7 +166,7 @@
         }
     });
 
-    // Somebody edits a record by hand, or a newer program wrote it before a rollback. Skipping it could skip a
+    // A record was edited by hand, or a newer program wrote it before a rollback. Skipping it could skip a
     // start marker, and its work would run twice: the slice must stay closed and name the key.
     const faults: readonly {
         readonly name: string;
@@ -200,7 +201,8 @@
         });
     }
 
-    // A deleted snapshot part, or one written by a paused owner: the head names the revision that counts.
+    // A snapshot part was deleted or overwritten by a paused owner: only the revision named by the head is
+    // valid.
     it("refuses a snapshot part with another revision than the head names", async () => {
         const clock = new FakeClock();
         const model = new StoreModel(clock);
