--- a/src/test/process/home/state/home-state_test.ts
+++ b/src/test/process/home/state/home-state_test.ts
@@ -1,4 +1,6 @@
-/** The state of a home slice: equal logs give equal states, and a snapshot is as good as the log before it. */
+/**
+ * The state of a home slice: equal logs give equal states, and a snapshot can replace the log that it covers.
+ */
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -122,8 +124,11 @@
 const FIRST_END_CODE = 2;
 
 function checkEnd(ends: Map<string, number>, task: string, code: number): void {
-    const before = ends.get(task);
-    assert.ok(before === undefined || before === code, `${task} ended as ${before}, then ${code}`);
+    const previousCode = ends.get(task);
+    assert.ok(
+        previousCode === undefined || previousCode === code,
+        `${task} ended as ${previousCode}, then ${code}`,
+    );
     if (code >= FIRST_END_CODE) {
         ends.set(task, code);
     }
--- a/src/test/process/ownership/standing_test.ts
+++ b/src/test/process/ownership/authority_test.ts
@@ -1,7 +1,7 @@
-/** The right to act: every line of the rule in docs/design/ownership.md. */
+/** The authority to act: every line of the rule in docs/design/ownership.md. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { isKnownByMajority, Standing } from "../../../process/ownership/standing.js";
+import { Authority, isKnownByMajority } from "../../../process/ownership/authority.js";
 import type { HeardDigest } from "../../../process/roles.js";
 import { type CellSettings, DEFAULT_CELL } from "../../../version/settings.js";
 import { FakeClock } from "../../fakes/fake-clock.js";
@@ -17,10 +17,10 @@
 const LEASE_END = 10_000;
 
 interface Peer {
-    /** Age of the sure word of the peer; heard of at this moment all the same. */
+    /** Age of the peer's digest by the lower bound of its creation time; it arrives now in any case. */
     readonly sureAgeMs?: number;
     readonly tableRevision?: number;
-    /** Age of the peer's contact with the store; far back unless given. */
+    /** Age of the peer's last contact with the store, which was at time 0 unless given. */
     readonly contactAgeMs?: number;
 }
 
@@ -33,63 +33,94 @@
     readonly mayAct: boolean;
 }
 
-const well: Peer = {};
+const upToDate: Peer = {};
 
 const cases: readonly Case[] = [
     { name: "its lease is valid", now: 9_999, peers: [undefined, undefined], mayAct: true },
     {
-        name: "its lease has run out and nobody is heard",
+        name: "its lease has run out and no peer has sent a digest",
         now: LEASE_END,
         peers: [undefined, undefined],
         mayAct: false,
     },
-    { name: "a majority without the store backs it", now: 20_000, peers: [well, undefined], mayAct: true },
     {
-        name: "half of the members do not suffice",
+        name: "a majority without the store backs it",
         now: 20_000,
-        peers: [well, undefined, undefined],
+        peers: [upToDate, undefined],
+        mayAct: true,
+    },
+    {
+        name: "only half of the members back it",
+        now: 20_000,
+        peers: [upToDate, undefined, undefined],
         mayAct: false,
     },
     {
-        name: "a word as old as freshMs counts",
+        name: "a digest is exactly freshMs old",
         now: 20_000,
         peers: [{ sureAgeMs: 3_000 }, undefined],
         mayAct: true,
     },
-    { name: "an older word does not", now: 20_000, peers: [{ sureAgeMs: 3_001 }, undefined], mayAct: false },
-    { name: "a peer holds a newer table", now: 20_000, peers: [well, { tableRevision: 8 }], mayAct: false },
-    { name: "a peer holds an older table", now: 20_000, peers: [well, { tableRevision: 6 }], mayAct: true },
+    {
+        name: "the digest is older than freshMs",
+        now: 20_000,
+        peers: [{ sureAgeMs: 3_001 }, undefined],
+        mayAct: false,
+    },
+    {
+        name: "a peer holds a newer table",
+        now: 20_000,
+        peers: [upToDate, { tableRevision: 8 }],
+        mayAct: false,
+    },
+    {
+        name: "a peer holds an older table",
+        now: 20_000,
+        peers: [upToDate, { tableRevision: 6 }],
+        mayAct: true,
+    },
     {
         name: "a peer reached the store after its lease ended",
         now: 20_000,
-        peers: [well, { contactAgeMs: 9_000 }],
+        peers: [upToDate, { contactAgeMs: 9_000 }],
         mayAct: false,
     },
-    { name: "a peer reached it before", now: 20_000, peers: [well, { contactAgeMs: 10_000 }], mayAct: true },
+    {
+        name: "a peer reached the store before its lease ended",
+        now: 20_000,
+        peers: [upToDate, { contactAgeMs: 10_000 }],
+        mayAct: true,
+    },
     {
         name: "the outage lasts longer than tolerated",
         now: 70_000,
-        peers: [well, well],
+        peers: [upToDate, upToDate],
         contactAt: 9_999,
         mayAct: false,
     },
-    { name: "the table does not list it", now: 20_000, peers: [well, well], isMember: false, mayAct: false },
+    {
+        name: "the table does not list it",
+        now: 20_000,
+        peers: [upToDate, upToDate],
+        isMember: false,
+        mayAct: false,
+    },
 ];
 
-function makeStanding(clock: FakeClock, { now, peers, contactAt, isMember }: Case): Standing {
+function makeAuthority(clock: FakeClock, { now, peers, contactAt, isMember }: Case): Authority {
     const names = peers.map((...[, index]) => `p${index}`);
-    return new Standing({
+    return new Authority({
         clock,
         memberId: "self",
         getCell: () => CELL,
         listMemberIds: () => isMember === false ? names : ["self", ...names],
         getTableRevision: () => TABLE_REVISION,
-        getDigest: memberId => makeHeard(peers[names.indexOf(memberId)], now),
+        getDigest: memberId => makeReceivedDigest(peers[names.indexOf(memberId)], now),
         getLastStoreContact: () => contactAt ?? LEASE_END,
     });
 }
 
-function makeHeard(peer: Peer | undefined, now: number): HeardDigest | undefined {
+function makeReceivedDigest(peer: Peer | undefined, now: number): HeardDigest | undefined {
     if (peer === undefined) {
         return undefined;
     }
@@ -104,21 +135,26 @@
     for (const each of cases) {
         it(`${each.mayAct ? "" : "not "}when ${each.name}`, async () => {
             const clock = new FakeClock();
-            const standing = makeStanding(clock, each);
-            standing.renewLease(0);
+            const authority = makeAuthority(clock, each);
+            authority.renewLease(0);
             await clock.step(each.now);
-            assert.equal(standing.mayAct(), each.mayAct);
+            assert.equal(authority.mayAct(), each.mayAct);
         });
     }
 
     it("never without a lease, and not after it was dropped", async () => {
         const clock = new FakeClock();
-        const standing = makeStanding(clock, { name: "", now: 0, peers: [well, well], mayAct: false });
-        assert.equal(standing.mayAct(), false);
-        standing.renewLease(0);
-        standing.dropLease();
+        const authority = makeAuthority(clock, {
+            name: "",
+            now: 0,
+            peers: [upToDate, upToDate],
+            mayAct: false,
+        });
+        assert.equal(authority.mayAct(), false);
+        authority.renewLease(0);
+        authority.dropLease();
         await clock.step(100);
-        assert.equal(standing.mayAct(), false);
+        assert.equal(authority.mayAct(), false);
     });
 });
 
--- a/src/test/process/ownership/hand-overs_test.ts
+++ b/src/test/process/ownership/handover-coordinator_test.ts
@@ -1,8 +1,11 @@
-/** Planned hand-overs: released before written, and taken back by a higher epoch where the write is uncertain. */
+/**
+ * Planned handovers: released before they are written, and taken back by a higher epoch if the write is
+ * uncertain.
+ */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { HandOvers } from "../../../process/ownership/hand-overs.js";
-import { addMember } from "../../../process/ownership/plan.js";
+import { HandoverCoordinator } from "../../../process/ownership/handover-coordinator.js";
+import { addMember } from "../../../process/ownership/table-changes.js";
 import { buildEmptyTable, type OwnershipTable } from "../../../process/ownership/table.js";
 import type { Member } from "../../../process/roles.js";
 import { FakeClock } from "../../fakes/fake-clock.js";
@@ -16,21 +19,21 @@
     return addMember(addMember(buildEmptyTable(), makeMember("old")), makeMember("fresh"));
 }
 
-function makeScene(writeTakesEffect: boolean) {
-    const told: string[] = [];
+function makeFixture(writeTakesEffect: boolean) {
+    const calls: string[] = [];
     let table = makeTable();
     let isUncertain = !writeTakesEffect;
-    const handOvers = new HandOvers({
+    const handovers = new HandoverCoordinator({
         context: { memberId: "old", clock: new FakeClock() },
         getTable: () => table,
         isReachable: () => true,
         hasWorkers: ({ kind }) => kind === "worker",
         releaseSlice: ({ kind, slice }) => {
-            told.push(`release ${kind} ${slice}`);
+            calls.push(`release ${kind} ${slice}`);
             return Promise.resolve(true);
         },
         write: change => {
-            told.push("write");
+            calls.push("write");
             if (isUncertain) {
                 return Promise.resolve(false);
             }
@@ -39,8 +42,8 @@
         },
     });
     return {
-        told,
-        handOvers,
+        calls: calls,
+        handovers,
         getTable: () => table,
         restoreStore: () => {
             isUncertain = false;
@@ -52,34 +55,34 @@
     return [...table.homeSlices, ...table.workerSlices].map(entry => entry.owner);
 }
 
-describe("a hand-over", () => {
-    // The next owner begins as soon as the table names it. An owner that wrote first and stopped later would act
-    // beside it for a moment, and the next owner would count on a release that had not happened.
+describe("a handover", () => {
+    // The next owner starts as soon as the table names it. If the previous owner wrote the table before it
+    // stopped, both would act on the slice, and the next owner would rely on a release that had not happened.
     it("releases every slice before the write that moves it", async () => {
-        const { told, handOvers, getTable } = makeScene(true);
-        await handOvers.plan(getTable())?.();
-        const write = told.indexOf("write");
+        const { calls, handovers, getTable } = makeFixture(true);
+        await handovers.plan(getTable())?.();
+        const write = calls.indexOf("write");
         assert.ok(write > 0);
-        assert.ok(told.slice(0, write).every(each => each.startsWith("release")));
+        assert.ok(calls.slice(0, write).every(each => each.startsWith("release")));
         const moved = listOwners(getTable()).filter(owner => owner === "fresh").length;
         assert.equal(moved, write);
     });
 
     it("moves one worker slice with workers at a time", async () => {
-        const { told, handOvers, getTable } = makeScene(true);
-        await handOvers.plan(getTable())?.();
-        assert.equal(told.filter(each => each.startsWith("release worker")).length, 1);
+        const { calls, handovers, getTable } = makeFixture(true);
+        await handovers.plan(getTable())?.();
+        assert.equal(calls.filter(each => each.startsWith("release worker")).length, 1);
     });
 
-    // The store takes the write and its answer is lost, or will take it later: nobody knows. The owner goes on
-    // acting on the slice only under a higher epoch, so that the late write finds another revision.
+    // The write may have taken effect with its answer lost, or may take effect later. The owner acts on the
+    // slice again only under a higher epoch, so that a late write is refused for its outdated revision.
     it("whose write is uncertain is taken back under higher epochs", async () => {
-        const { told, handOvers, getTable, restoreStore } = makeScene(false);
+        const { calls, handovers, getTable, restoreStore } = makeFixture(false);
         const before = getTable();
-        await handOvers.plan(before)?.();
-        const released = told.filter(each => each.startsWith("release")).length;
+        await handovers.plan(before)?.();
+        const released = calls.filter(each => each.startsWith("release")).length;
         restoreStore();
-        await handOvers.plan(getTable())?.();
+        await handovers.plan(getTable())?.();
         const after = getTable();
         assert.deepEqual(listOwners(after), listOwners(before));
         const raised =
--- a/src/test/process/placement/adding-a-policy_test.ts
+++ b/src/test/process/placement/adding-a-policy_test.ts
@@ -1,4 +1,4 @@
-/** The example of docs/ADDING-A-POLICY.md is the file beside this test, so it compiles, and it decides. */
+/** The example of docs/ADDING-A-POLICY.md equals first-come-policy.ts, so it compiles, and it works. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
@@ -11,7 +11,7 @@
 const EXAMPLE = "src/test/process/placement/first-come-policy.ts";
 
 describe("the example policy", () => {
-    it("stands in the page as it compiles here", () => {
+    it("is the same in the page as in the compiled file", () => {
         const [, shown = ""] = /```ts\n([\s\S]*?)```/.exec(readFileSync(PAGE, "utf8")) ?? [];
         const compiled = readFileSync(EXAMPLE, "utf8").replace(
             "../../../process/placement/index.js",
@@ -20,7 +20,7 @@
         assert.equal(shown, compiled);
     });
 
-    it("decides with one row in the table", () => {
+    it("takes effect with one entry in the table of policies", () => {
         const core = createPlacementCore({ policies: { ...POLICIES, firstCome: firstComePolicy } });
         core.setSettings(makeSettings({ batch: { policy: "firstCome" } }));
         for (const index of [0, 1]) {
--- a/src/test/process/placement/core-fixture.ts
+++ b/src/test/process/placement/core-fixture.ts
@@ -9,7 +9,7 @@
     type TeamSettings,
 } from "../../../version/settings.js";
 
-/** One branch of each kind, named after it. */
+/** Makes settings with one branch of each kind, named after the kind. */
 export function makeSettings(
     changes: Partial<Record<WorkKind, Partial<BranchSettings>>> = {},
     teams: readonly TeamSettings[] = [],
--- a/src/test/process/placement/core-properties_test.ts
+++ b/src/test/process/placement/core-properties_test.ts
@@ -1,6 +1,6 @@
 /**
- * Properties of the placement core over any sequence of calls, checked against plain sums kept beside it:
- * capacity is never exceeded by its own starts, nothing is placed twice, give-back is exact.
+ * Properties of the placement core over arbitrary sequences of calls, checked against a simple model: its
+ * starts never exceed capacity, nothing is placed twice, and releases are exact.
  */
 import fc from "fast-check";
 import assert from "node:assert/strict";
@@ -20,7 +20,7 @@
 const WORKERS = 5;
 const SEED = 20_261_202;
 const RUNS = 300;
-/** Calls of decide at one instant before it counts as a loop without end. */
+/** Calls of `decide` at one instant, above which the core is considered to loop forever. */
 const MAX_ROUNDS = 20;
 
 interface Command {
@@ -38,7 +38,7 @@
         | "commit"
         | "drop"
         | "shares";
-    /** Free numbers that each command reads as it needs. */
+    /** Arbitrary numbers; each command derives its parameters from them. */
     readonly left: number;
     readonly right: number;
 }
@@ -73,7 +73,7 @@
     { minLength: 20, maxLength: 160 },
 );
 
-/** The sums beside the core. */
+/** Runs commands on a core and tracks what should be queued and running. */
 class Model {
     readonly core: PlacementCore = createPlacementCore({ seed: 7 });
     readonly random = createRandom(11);
@@ -95,7 +95,7 @@
     }
 
     run(command: Command): void {
-        // Fractions, since the real clock has them: sums of them round.
+        // Fractional milliseconds, as of the real clock, whose sums are rounded.
         this.now += command.right * 0.1 + command.left * 0.001_7;
         this.handlers[command.kind](command);
     }
@@ -110,7 +110,7 @@
         },
         decide: () => {
             for (let round = 0; round === 0 || this.core.getNextDecisionAt(this.now) === this.now; round++) {
-                assert.ok(round < MAX_ROUNDS, "asks to decide again and again at one instant");
+                assert.ok(round < MAX_ROUNDS, "asks for another decide call at the same instant forever");
                 this.applyDecisions(this.core.decide(this.now, this.random));
             }
         },
@@ -192,7 +192,7 @@
         },
     };
 
-    /** Sum of what runs on a worker by the model. */
+    /** Sums the resources of everything that runs on a worker by the model. */
     sumTasks(workerId: string): Resources {
         let sum = NO_RESOURCES;
         for (const entry of this.running.values()) {
@@ -231,13 +231,13 @@
             this.running.set(item.id, { item, workerId });
             if (from === "queued") {
                 assert.ok(this.open.has(workerId), "started on a closed worker");
-                this.assertRoom(workerId, item);
+                this.assertCapacity(workerId, item);
             }
         }
     }
 
-    /** Adopted work may fill a worker past its capacity; the core itself never does. */
-    private assertRoom(workerId: string, item: WorkItem): void {
+    /** Adopted work may exceed the capacity of a worker; starts by the core never do. */
+    private assertCapacity(workerId: string, item: WorkItem): void {
         const worker = this.workers.get(workerId);
         assert.ok(worker !== undefined);
         if (item.kind === "service") {
@@ -288,8 +288,8 @@
     return keys.length === 0 ? undefined : keys[number % keys.length];
 }
 
-describe("placement core, any sequence of calls", () => {
-    it("never exceeds capacity, never places twice and gives back exactly", () => {
+describe("placement core, arbitrary sequences of calls", () => {
+    it("never exceeds capacity, never places twice and releases exactly", () => {
         fc.assert(
             fc.property(commands, sequence => {
                 const model = new Model();
@@ -316,7 +316,7 @@
         );
     });
 
-    it("decides the same for the same calls and seeds", () => {
+    it("makes the same decisions for the same calls and seeds", () => {
         fc.assert(
             fc.property(commands, sequence => {
                 const [left, right] = [new Model(), new Model()];
--- a/src/test/process/placement/first-come-policy.ts
+++ b/src/test/process/placement/first-come-policy.ts
@@ -5,7 +5,7 @@
 export const firstComePolicy: Policy = {
     kinds: ["batch"],
     capacity: CapacityKind.room,
-    getLineKey: item => item.team,
-    computeRank: line => line.getHeadQueuedAt(),
-    computeCost: (_item, place) => -place.freeCpu / place.view.capacity.cpuMillis,
+    getFlowKey: item => item.team,
+    computeRank: flow => flow.getHeadQueuedAt(),
+    computeCost: (_item, candidate) => -candidate.freeCpu / candidate.view.capacity.cpuMillis,
 };
--- a/src/test/process/placement/policies_test.ts
+++ b/src/test/process/placement/policies_test.ts
@@ -1,4 +1,4 @@
-/** What each policy promises to those who wait, one story at a time. */
+/** Guarantees of each policy to waiting work, one scenario per test. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../../common/random.js";
@@ -22,7 +22,7 @@
     return decisions.flatMap(decision => decision.kind === "start" ? [decision.item.id] : []);
 }
 
-/** Fills every worker with tasks of one core and half of its memory for each. */
+/** Enqueues `count` small batch tasks and starts as many as fit; returns the ids of those started. */
 function fill(core: PlacementCore, count: number): string[] {
     for (let index = 0; index < count; index++) {
         core.enqueue(makeItem(`fill-${index}`, "batch"), 0);
@@ -31,9 +31,9 @@
 }
 
 describe("service policy", () => {
-    it("serves a visitor in the next free slot while a council floods the queue", () => {
-        // A council hands in 400 requests at once; a visitor comes after them. The visitor must not stand behind
-        // the council's whole queue: callers of a branch are served in turn.
+    it("serves another caller in one of the next two free slots while one caller floods the queue", () => {
+        // One caller submits 400 requests at once, then another submits one. It must not wait behind all of
+        // the first caller's requests: callers of a branch are served in turn.
         const core = makeCore(1);
         for (let index = 0; index < 400; index++) {
             core.enqueue(makeItem(`council-${index}`, "service", { callerId: "council", estimateMs: 1 }), 0);
@@ -48,9 +48,9 @@
         assert.ok(served.includes("visitor"), served.join());
     });
 
-    it("refuses at once, with a time to come back, what cannot start before its deadline", () => {
-        // Four slots, runs of a second, 100 callers wait. One more with a second to live would be held for all of
-        // it and then be refused: it is told at once.
+    it("sheds at once, with a retry delay, what cannot start before its deadline", () => {
+        // Four slots, runs of a second, 100 waiting callers: without the estimate, a request with a deadline
+        // in one second would be queued until then and only then refused.
         const settings = makeSettings({ service: { maxWaitMs: 60_000, defaultEstimateMs: 1_000 } });
         const core = makeCore(1, settings);
         for (let index = 0; index < 100; index++) {
@@ -62,7 +62,7 @@
         assert.ok(result.kind === "shed" && result.reason === "deadline" && result.retryAfterMs >= 100);
     });
 
-    it("gives the place of a flood's newest request to another caller when the queue is full", () => {
+    it("sheds the newest request of the longest flow for another caller when the queue is full", () => {
         const settings = makeSettings({ service: { queueLimit: 10, maxWaitMs: 600_000 } });
         const core = makeCore(1, settings);
         for (let index = 0; index < 14; index++) {
@@ -76,7 +76,7 @@
 });
 
 describe("batch policy", () => {
-    it("starts the team that uses less, whatever came first", () => {
+    it("starts the team that uses less, regardless of arrival order", () => {
         const core = makeCore(1);
         for (let index = 0; index < 12; index++) {
             core.enqueue(makeItem(`a-${index}`, "batch", { team: "team-a" }), 0);
@@ -87,7 +87,7 @@
         assert.deepEqual(listStarts(core.decide(20, random)), ["b-0"]);
     });
 
-    it("keeps a team within its share and goes on when the share grows", () => {
+    it("keeps a team within its share and continues when the share grows", () => {
         const quota = { cpuMillis: 100_000, memoryMib: 100_000, accelerators: 0 };
         const team = { team: "team-a", weight: 1, quota, tokenHashes: [] };
         const core = makeCore(2, makeSettings({}, [team]));
@@ -101,9 +101,9 @@
         assert.equal(listStarts(core.decide(1, random)).length, 3);
     });
 
-    it("starts a large task in the end while small ones keep coming", () => {
-        // A task of a whole worker waits while tasks of one core fill every gap. Without room kept for it, it
-        // would never start.
+    it("starts a large task eventually while small ones keep arriving", () => {
+        // A task that needs a whole worker waits while tasks of one core fill every gap. Without a
+        // reservation it would never start.
         const core = makeCore(2);
         const running = fill(core, 40);
         const whole = { cpuMillis: 8_000, memoryMib: 8_192, accelerators: 0 };
@@ -120,7 +120,7 @@
         assert.ok(now < 120_000, `started after ${now} ms`);
     });
 
-    it("says at once that a task fits on no worker, and how large the largest is", () => {
+    it("reports at once that a task fits on no worker, with the largest capacity", () => {
         const core = makeCore(2);
         const resources = { cpuMillis: 9_000, memoryMib: 1, accelerators: 0 };
         const result = core.enqueue(makeItem("huge", "batch", { resources }), 0);
@@ -200,7 +200,7 @@
         assert.deepEqual(core.commitHold("g", 500), []);
     });
 
-    it("gives a hold back when its time is over", () => {
+    it("releases a hold when it expires", () => {
         const core = makeCore(2);
         core.reserve("g", makeGang("g", 4, 0), 1_000, 0);
         assert.deepEqual(core.commitHold("g", 1_000), []);
@@ -208,9 +208,9 @@
         assert.equal(core.getLoad().free.cpuMillis, 16_000);
     });
 
-    it("lets the older of two gangs that each hold a part go first", () => {
-        // Two gangs of three fit one at a time. The younger holds two places; without a rule both would hold a
-        // part until their time is over, try again, and hold a part again.
+    it("lets the older of two gangs that compete for capacity start first", () => {
+        // Two gangs of three fit only one at a time. Without an order between them, both could hold a part
+        // until it expires, retry, and hold a part again.
         const core = makeCore(2);
         const [older, younger] = [makeGang("old", 3, 10), makeGang("young", 3, 20)];
         core.reserve("young", younger, 5_000, 30);
@@ -219,9 +219,9 @@
         assert.equal(core.commitHold("old", 50).length, 3);
     });
 
-    it("starts while small work keeps coming, and backfill does not push it back", () => {
-        // Small tasks fill every gap. The gang's room is collected as it comes free; only tasks that would end
-        // in time may start in front of it.
+    it("starts while small tasks keep arriving, and backfill does not delay it", () => {
+        // Small tasks fill every gap. Capacity is reserved for the gang as it becomes free; only tasks that
+        // would end in time may start ahead of it.
         const core = makeCore(4);
         const running = fill(core, 80);
         const gang = makeGang("g", 6, 1);
@@ -236,7 +236,7 @@
             running.push(...listStarts(core.decide(now, random)));
             held = core.reserve("g", gang, now + 2_000, now).held;
         }
-        assert.ok(now < 20_000, `held whole after ${now} ms`);
+        assert.ok(now < 20_000, `held completely after ${now} ms`);
         assert.equal(core.commitHold("g", now).length, 6);
     });
 });
--- a/src/test/process/placement/quota-shares_test.ts
+++ b/src/test/process/placement/quota-shares_test.ts
@@ -1,6 +1,6 @@
 /**
- * Lent shares of a quota: whatever is lost, late, repeated or out of order, the sum in use stays within the
- * quota; and one placer with all the demand gets nearly all of it.
+ * Lent shares of a quota: total usage stays within the quota even if messages are lost, late, repeated or out
+ * of order, and a placer with all the demand gets nearly the whole quota.
  */
 import fc from "fast-check";
 import assert from "node:assert/strict";
@@ -26,8 +26,8 @@
     };
 }
 
-/** Placers that use all they are lent up to their demand, and messages that wait to be delivered. */
-class Cell {
+/** A lender, placers that use what they are lent up to their demand, and undelivered messages. */
+class ShareFixture {
     lender = new ShareLender(TEAM, 1, QUOTA, PLACERS);
     readonly holders = new Map(PLACERS.map(id => [id, new ShareHolder(id)]));
     readonly use = new Map<string, number>(PLACERS.map(id => [id, 0]));
@@ -47,8 +47,8 @@
     /** Starts tasks of 1,000 millicores while share and demand allow. */
     start(id: string): void {
         const share = this.holders.get(id)?.listShares().get(TEAM)?.cpuMillis ?? 0;
-        const room = Math.max(0, Math.min(share - (this.use.get(id) ?? 0), this.demand.get(id) ?? 0));
-        const started = 1_000 * Math.floor(room / 1_000);
+        const startable = Math.max(0, Math.min(share - (this.use.get(id) ?? 0), this.demand.get(id) ?? 0));
+        const started = 1_000 * Math.floor(startable / 1_000);
         this.use.set(id, (this.use.get(id) ?? 0) + started);
         this.demand.set(id, (this.demand.get(id) ?? 0) - started);
     }
@@ -81,46 +81,46 @@
     it("never add up to more than the quota in use", () => {
         fc.assert(
             fc.property(steps, sequence => {
-                const cell = new Cell();
+                const fixture = new ShareFixture();
                 for (const { kind, placer, index, keep } of sequence) {
                     const id = PLACERS[placer] ?? "p0";
                     if (kind === "report") {
-                        cell.report(id);
+                        fixture.report(id);
                     }
-                    else if (kind === "deliverReport" && cell.reports.length > 0) {
-                        const at = index % cell.reports.length;
-                        const report = cell.reports[at];
-                        const grant = report === undefined ? undefined : cell.lender.grant(report);
+                    else if (kind === "deliverReport" && fixture.reports.length > 0) {
+                        const at = index % fixture.reports.length;
+                        const report = fixture.reports[at];
+                        const grant = report === undefined ? undefined : fixture.lender.grant(report);
                         if (grant !== undefined) {
-                            cell.grants.push(grant);
+                            fixture.grants.push(grant);
                         }
-                        cell.reports.splice(at, keep ? 0 : 1);
+                        fixture.reports.splice(at, keep ? 0 : 1);
                     }
-                    else if (kind === "deliverGrant" && cell.grants.length > 0) {
-                        const at = index % cell.grants.length;
-                        const grant = cell.grants[at];
+                    else if (kind === "deliverGrant" && fixture.grants.length > 0) {
+                        const at = index % fixture.grants.length;
+                        const grant = fixture.grants[at];
                         if (grant !== undefined) {
-                            cell.holders.get(grant.placerId)?.accept(grant);
+                            fixture.holders.get(grant.placerId)?.accept(grant);
                         }
-                        cell.grants.splice(at, keep ? 0 : 1);
+                        fixture.grants.splice(at, keep ? 0 : 1);
                     }
                     else if (kind === "lose") {
-                        cell.reports.splice(index % 10, 1);
-                        cell.grants.splice(index % 10, 1);
+                        fixture.reports.splice(index % 10, 1);
+                        fixture.grants.splice(index % 10, 1);
                     }
                     else if (kind === "start") {
-                        cell.start(id);
+                        fixture.start(id);
                     }
                     else if (kind === "end") {
-                        cell.use.set(id, Math.floor((cell.use.get(id) ?? 0) / 2));
+                        fixture.use.set(id, Math.floor((fixture.use.get(id) ?? 0) / 2));
                     }
                     else if (kind === "wish") {
-                        cell.demand.set(id, 1_000 * (index % 120));
+                        fixture.demand.set(id, 1_000 * (index % 120));
                     }
                     else if (kind === "term" && index % 10 === 0) {
-                        cell.lender = new ShareLender(TEAM, cell.lender.term + 1, QUOTA, PLACERS);
+                        fixture.lender = new ShareLender(TEAM, fixture.lender.term + 1, QUOTA, PLACERS);
                     }
-                    assert.ok(cell.sumUse() <= QUOTA.cpuMillis, `${cell.sumUse()} in use`);
+                    assert.ok(fixture.sumUse() <= QUOTA.cpuMillis, `${fixture.sumUse()} in use`);
                 }
             }),
             { seed: SEED, numRuns: 500 },
@@ -128,34 +128,34 @@
     });
 
     it("lets one placer with all the demand use 95% or more after others had used it", () => {
-        const cell = new Cell();
+        const fixture = new ShareFixture();
         const settle = () => {
             for (const id of PLACERS) {
-                cell.report(id);
-                const report = cell.reports.pop();
-                const grant = report === undefined ? undefined : cell.lender.grant(report);
+                fixture.report(id);
+                const report = fixture.reports.pop();
+                const grant = report === undefined ? undefined : fixture.lender.grant(report);
                 if (grant !== undefined) {
-                    cell.holders.get(id)?.accept(grant);
+                    fixture.holders.get(id)?.accept(grant);
                 }
-                cell.start(id);
+                fixture.start(id);
             }
         };
-        PLACERS.forEach(id => cell.demand.set(id, 50_000));
+        PLACERS.forEach(id => fixture.demand.set(id, 50_000));
         for (let round = 0; round < 5; round++) {
             settle();
         }
         PLACERS.forEach(id => {
-            cell.use.set(id, 0);
-            cell.demand.set(id, id === "p2" ? 200_000 : 0);
+            fixture.use.set(id, 0);
+            fixture.demand.set(id, id === "p2" ? 200_000 : 0);
         });
         for (let round = 0; round < 5; round++) {
             settle();
         }
-        assert.ok((cell.use.get("p2") ?? 0) >= 0.95 * QUOTA.cpuMillis, `${cell.use.get("p2")}`);
+        assert.ok((fixture.use.get("p2") ?? 0) >= 0.95 * QUOTA.cpuMillis, `${fixture.use.get("p2")}`);
     });
 
-    it("lends nothing in a new term until every placer has told what runs there", () => {
-        // A new lender that knew only some placers would lend again what the others still use.
+    it("lends nothing in a new term until every placer has reported its usage", () => {
+        // A new lender that had reports from only some placers would lend again what the others still use.
         const lender = new ShareLender(TEAM, 2, QUOTA, ["p0", "p1"]);
         const [first, second] = [new ShareHolder("p0"), new ShareHolder("p1")];
         const none = buildAmount(0);
--- a/src/test/process/placement/service-burst_test.ts
+++ b/src/test/process/placement/service-burst_test.ts
@@ -1,4 +1,4 @@
-/** Requests that the free slots can take are not shed for an estimate. */
+/** Requests for which slots are free are not shed because of an estimated wait. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../../common/random.js";
@@ -20,9 +20,9 @@
     ];
     for (const { name, slots, slotsPerWorker, requests, started } of cases) {
         it(`${name}: ${started} start`, () => {
-            // A visitor sees: "not run, deadline" from an idle cell. Order: a placer has just attached its workers, two
-            // requests arrive before it decides. Cause: no run time is learnt yet, and the default of 60 s per slot
-            // made the wait of the second look longer than the longest allowed.
+            // Guards against "not run, deadline" from an idle placer: before any run time is known, the
+            // default of 60 s per slot made the estimated wait of the second of two requests, both queued
+            // before the first decision, exceed the maximum.
             const core = createPlacementCore();
             core.setSettings(
                 makeSettings({ service: { maxWaitMs: 3_000, slotsPerWorker: slotsPerWorker ?? 8 } }),
--- a/src/test/process/placer/home-fences_test.ts
+++ b/src/test/process/placer/home-fences_test.ts
@@ -1,6 +1,6 @@
 /**
- * A home that was paused wakes with orders in its send queue, after another took its slice, held its census and
- * started the same tasks elsewhere. If a placer took such an order, the task would run twice.
+ * Guards against a task running twice: a paused home resumes with orders in its send queue after another
+ * entry took over its slice, completed its census and started the same tasks elsewhere.
  */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -19,7 +19,7 @@
 
 interface Case {
     readonly name: string;
-    /** Epoch of the home in the ownership table that the placer holds. */
+    /** Epoch of the home in the placer's ownership table. */
     readonly table: number;
     readonly steps: readonly (readonly [Step, boolean])[];
 }
@@ -34,14 +34,14 @@
 
 const cases: readonly Case[] = [
     {
-        name: "takes the current home's orders",
+        name: "accepts the current home's orders",
         table: 2,
         steps: [[makeOrder(2, 1), true], [makeOrder(2, 2), true]],
     },
     { name: "refuses a home older than the table", table: 2, steps: [[makeOrder(1, 9), false]] },
-    { name: "takes a home newer than the table", table: 2, steps: [[makeOrder(3, 1), true]] },
+    { name: "accepts a home newer than the table", table: 2, steps: [[makeOrder(3, 1), true]] },
     {
-        name: "refuses an older home after a census, whatever the table says",
+        name: "refuses an older home after a census, even if the table still lists it",
         table: 1,
         steps: [[makeCensus(2, 1), true], [makeOrder(1, 9), false], [makeOrder(2, 1), true]],
     },
@@ -62,7 +62,7 @@
     },
     { name: "refuses an outdated census", table: 2, steps: [[makeCensus(1, 1), false]] },
     {
-        name: "admits an attempt once, also when it is sent again with another sequence",
+        name: "admits an attempt once, even if it is sent again with another sequence number",
         table: 1,
         steps: [[makeOrder(1, 1, "a"), true], [makeOrder(1, 1, "a"), false], [makeOrder(1, 2, "a"), false], [
             makeOrder(1, 3, "b"),
@@ -77,7 +77,7 @@
             const fences = new HomeFences({ getHomeSliceOwner: () => ({ memberId: "home", epoch: table }) });
             const results = steps.map(([step], index) =>
                 step.kind === "census" ?
-                    fences.raise(SLICE, step.epoch, step.floor) :
+                    fences.raiseFloor(SLICE, step.epoch, step.floor) :
                     fences.admit(
                         { homeSlice: SLICE, epoch: step.epoch, sequence: step.sequence },
                         step.attempt ?? `attempt-${index}`,
--- a/src/test/process/placer/worker-health_test.ts
+++ b/src/test/process/placer/worker-health_test.ts
@@ -1,4 +1,4 @@
-/** Ejection: one worker that fails everything goes, a task that fails everywhere ejects nobody. */
+/** A worker that fails everything is ejected; a task that fails everywhere ejects no worker. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { WorkerHealth } from "../../../process/placer/worker-health.js";
@@ -14,7 +14,7 @@
     return health;
 }
 
-/** Every worker runs a branch in turn; those listed fail. */
+/** Records results of a branch on every worker in turn; the workers in `failing` fail. */
 function runRounds(health: WorkerHealth, rounds: number, branch: string, failing: readonly string[]): void {
     for (let round = 0; round < rounds; round++) {
         WORKERS.forEach(worker => health.observe(worker, branch, failing.includes(worker)));
--- a/src/test/process/placer/worker-session_test.ts
+++ b/src/test/process/placer/worker-session_test.ts
@@ -1,4 +1,4 @@
-/** The conversation with one worker, over the stand-in's model: when it is lost, and when it is not. */
+/** Sessions with a simulated worker: when the worker is declared lost, and when it is not. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../../common/random.js";
@@ -15,17 +15,17 @@
 const LEASE_MS = 20_000;
 const CELL = { ...DEFAULT_CELL, workerLeaseMs: LEASE_MS, clockDrift: 0 };
 
-interface Scene {
+interface Fixture {
     readonly clock: FakeClock;
     readonly worker: WorkerModel;
     readonly path: CallPath;
     readonly session: WorkerSession;
-    /** What the session told, in order. */
-    readonly told: string[];
+    /** Events that the session reported, in order. */
+    readonly events: string[];
     mayAct: boolean;
 }
 
-function makeScene(predecessorBound = 0, comparesEpochs = true): Scene {
+function makeFixture(predecessorBound = 0, comparesEpochs = true): Fixture {
     const clock = new FakeClock();
     const own = new PausableClock(clock);
     const random = createRandom(1);
@@ -36,16 +36,16 @@
         comparesEpochs,
     });
     const port = new FakeWorkerPort(() => worker, () => new CallPath(clock, own, { latencyMs: 1, random }));
-    const told: string[] = [];
+    const events: string[] = [];
     const listener: SessionListener = {
-        handleAttached: (...[, , restarted]) => told.push(restarted ? "restarted" : "attached"),
+        handleAttached: (...[, , restarted]) => events.push(restarted ? "restarted" : "attached"),
         handleReport: () => undefined,
-        handleUnreachable: () => told.push("unreachable"),
-        handleLost: () => told.push("lost"),
-        handleFenced: () => told.push("fenced"),
+        handleUnreachable: () => events.push("unreachable"),
+        handleLost: () => events.push("lost"),
+        handleFenced: () => events.push("fenced"),
     };
     const ownership = {
-        mayAct: () => scene.mayAct,
+        mayAct: () => fixture.mayAct,
         getLeaseOnlyDeadline: () => Number.POSITIVE_INFINITY,
     } as OwnershipView;
     const context = { clock: own, random, log: createFakeLog(), metrics: createFakeMetrics(), ownership };
@@ -59,79 +59,79 @@
         getCell: () => CELL,
         listener,
     });
-    const scene = { clock, worker, path: port.getPath("w1"), session, told, mayAct: true };
-    return scene;
+    const fixture = { clock, worker, path: port.getPath("w1"), session, events, mayAct: true };
+    return fixture;
 }
 
-describe("a worker that falls silent", () => {
-    // Its link breaks while it goes on running its tasks. They may be started elsewhere only when the worker has
-    // surely ended them; an earlier word would have a task run in two places.
-    it("is lost only after the last lease that it can hold", async () => {
-        const { clock, path, session, told } = makeScene();
+describe("a worker that stops answering", () => {
+    // The worker's link breaks while it continues to run its tasks. If it were declared lost before it has
+    // certainly ended them, a task could run in two places.
+    it("is lost only after the last lease that it can hold has expired", async () => {
+        const { clock, path, session, events } = makeFixture();
         session.start();
         await clock.step(10_000);
         path.faults.unreachable = true;
         await clock.step(LEASE_MS - 1_000);
-        assert.deepEqual(told, ["attached", "unreachable"]);
+        assert.deepEqual(events, ["attached", "unreachable"]);
         await clock.step(15_000);
-        assert.deepEqual(told, ["attached", "unreachable", "lost"]);
+        assert.deepEqual(events, ["attached", "unreachable", "lost"]);
         session.close();
     });
 
-    // As above, but its owner has lost its right meanwhile: a new owner may be renewing the worker's lease.
-    it("is not lost by an owner that may not act", async () => {
-        const scene = makeScene();
-        scene.session.start();
-        await scene.clock.step(10_000);
-        scene.path.faults.unreachable = true;
-        scene.mayAct = false;
-        await scene.clock.step(120_000);
-        assert.ok(!scene.told.includes("lost"));
-        scene.session.close();
+    // As above, but the owner may no longer act, so a new owner may be renewing the worker's lease.
+    it("is not declared lost by an owner that may not act", async () => {
+        const fixture = makeFixture();
+        fixture.session.start();
+        await fixture.clock.step(10_000);
+        fixture.path.faults.unreachable = true;
+        fixture.mayAct = false;
+        await fixture.clock.step(120_000);
+        assert.ok(!fixture.events.includes("lost"));
+        fixture.session.close();
     });
 
-    it("that was never reached is lost only after the bound of the owner before", async () => {
-        const { clock, path, session, told } = makeScene(60_000);
+    it("or was never reached is lost only after the previous owner's bound", async () => {
+        const { clock, path, session, events } = makeFixture(60_000);
         path.faults.unreachable = true;
         session.start();
         await clock.step(59_000);
-        assert.deepEqual(told, []);
+        assert.deepEqual(events, []);
         await clock.step(2_000);
-        assert.deepEqual(told, ["lost"]);
+        assert.deepEqual(events, ["lost"]);
         session.close();
     });
 
-    it("and comes back in time is attached again", async () => {
-        const { clock, path, session, told } = makeScene();
+    it("and answers again in time is attached again", async () => {
+        const { clock, path, session, events } = makeFixture();
         session.start();
         await clock.step(10_000);
         path.faults.unreachable = true;
         await clock.step(8_000);
         path.faults.unreachable = false;
         await clock.step(10_000);
-        assert.deepEqual(told, ["attached", "unreachable", "attached"]);
+        assert.deepEqual(events, ["attached", "unreachable", "attached"]);
         session.close();
     });
 });
 
 describe("a worker that", () => {
-    it("restarts is told apart from one that did not", async () => {
-        const { clock, worker, session, told } = makeScene();
+    it("restarts is reported as restarted", async () => {
+        const { clock, worker, session, events } = makeFixture();
         session.start();
         await clock.step(5_000);
         worker.restart();
         await clock.step(10_000);
-        assert.deepEqual(told.filter(each => each !== "unreachable"), ["attached", "restarted"]);
+        assert.deepEqual(events.filter(each => each !== "unreachable"), ["attached", "restarted"]);
         session.close();
     });
 
-    it("has a newer owner fences this one", async () => {
-        const { clock, worker, session, told } = makeScene();
+    it("has a newer owner refuses this one", async () => {
+        const { clock, worker, session, events } = makeFixture();
         session.start();
         await clock.step(5_000);
         worker.attach({ epoch: 6, notAfter: Number.MAX_SAFE_INTEGER, leaseMs: 0 });
         await clock.step(5_000);
-        assert.ok(told.includes("fenced"));
+        assert.ok(events.includes("fenced"));
         const start = session.startTask({ attempt: "a", label: "", resources: CELL_TASK, payload: "{}" });
         assert.equal((await clock.wait(start, 5_000)).kind, "notStarted");
         assert.equal(worker.countRunning(), 0);
