--- a/src/process/home/home-role.ts
+++ b/src/process/home/home-role.ts
@@ -92,7 +92,7 @@
 
     private handleTableChange(): void {
         for (const slice of this.slices.values()) {
-            slice.getOpen()?.handleTable();
+            slice.getOpen()?.handleOwnershipChange();
         }
     }
 
--- a/src/process/home/run/census.ts
+++ b/src/process/home/run/census.ts
@@ -1,23 +1,23 @@
 /**
- * The census: what every placer knows of the work of this slice.
+ * The census: asks every placer which attempts of this home slice it knows.
  *
- * @remarks It decides when an attempt that nobody speaks of is surely over. It is complete when each member of
- * the ownership table has answered, and each worker slice is covered by an answer of the owner and epoch that the
- * table names, with all its workers known. Each answer also sets a floor: orders that were sent before and have
- * not arrived are refused from then on, so nothing that was given up can start later.
+ * @remarks A complete census proves that an attempt that no placer reported is over. It is complete when each member
+ * of the ownership table has answered, and each worker slice is covered by an answer from the owner and epoch in the
+ * table, with all workers of the slice known. Answering also raises the placer's sequence floor: it then refuses
+ * orders that were sent earlier and have not arrived, so an attempt that was given up cannot start later.
  */
 import type { Millis } from "../../../common/clock.js";
 import type { CensusAnswer } from "../../../connection/messages.js";
 import { WORKER_SLICES } from "../../../version/settings.js";
 import type { SliceCore } from "./core.js";
 
-const ROUND_PAUSE_MS: Millis = 500;
+const POLL_INTERVAL_MS: Millis = 500;
 
-/** What the census tells its slice. */
+/** Receives the results of a census. */
 export interface CensusListener {
-    /** An answer came: its tasks are told before the census can be complete. */
+    /** Called with each answer, before the census that it belongs to can be complete. */
     handleAnswer(from: string, answer: CensusAnswer): void;
-    /** Everybody has answered; attempts with an order below `floor` that nobody named are over. */
+    /** Called when the census is complete: attempts with an order below `floor` that no placer reported are over. */
     handleComplete(startedAt: Millis, floor: number): void;
 }
 
@@ -25,14 +25,14 @@
     readonly startedAt: Millis;
     readonly floor: number;
     readonly answered: Set<string>;
-    /** Owner and epoch that covered each worker slice. */
+    /** Owner and epoch whose answer covered each worker slice. */
     readonly covered: Map<number, string>;
 }
 
-/** Takes a census when asked, as often as it must. */
+/** Runs censuses on request, one at a time; requests during a census lead to one more after it. */
 export class Census {
     private round: Round | undefined;
-    private isWanted = false;
+    private isRequested = false;
     private isRunning = false;
 
     constructor(
@@ -41,31 +41,31 @@
         private readonly isStopped: () => boolean,
     ) {}
 
-    /** Asks for a census that begins after now. */
+    /** Requests a census that begins after this call. */
     request(): void {
-        this.isWanted = true;
+        this.isRequested = true;
         if (!this.isRunning) {
             this.isRunning = true;
             void this.runRounds();
         }
     }
 
-    /** What is still missing, in words; empty when no census is under way. */
+    /** Describes which answers are still missing; undefined when no census is in progress. */
     describe(): string | undefined {
         if (this.round === undefined) {
             return undefined;
         }
-        const silent = this.listMembers().filter(member => !this.round?.answered.has(member));
-        const open = this.listOpenSlices(this.round);
-        return `a census of placers is under way: ${silent.length} entries have not answered` +
-            (silent.length > 0 ? ` (${silent.slice(0, NAMES_SHOWN).join(", ")})` : "") +
-            `, ${open.length} worker slices are not covered` +
-            (open.length > 0 ? ` (${open.slice(0, NAMES_SHOWN).join(", ")})` : "");
+        const unanswered = this.listMembers().filter(member => !this.round?.answered.has(member));
+        const uncovered = this.listUncoveredSlices(this.round);
+        return `a census of placers is under way: ${unanswered.length} entries have not answered` +
+            (unanswered.length > 0 ? ` (${unanswered.slice(0, MAX_NAMES_SHOWN).join(", ")})` : "") +
+            `, ${uncovered.length} worker slices are not covered` +
+            (uncovered.length > 0 ? ` (${uncovered.slice(0, MAX_NAMES_SHOWN).join(", ")})` : "");
     }
 
     private async runRounds(): Promise<void> {
-        while (this.isWanted && !this.isStopped()) {
-            this.isWanted = false;
+        while (this.isRequested && !this.isStopped()) {
+            this.isRequested = false;
             const round: Round = {
                 startedAt: this.core.context.clock.now(),
                 floor: this.core.getNextSequence(),
@@ -81,7 +81,7 @@
 
     private async runRound(round: Round): Promise<void> {
         while (!this.isStopped()) {
-            await Promise.all(this.listDue(round).map(member => this.queryMember(round, member)));
+            await Promise.all(this.listPendingMembers(round).map(member => this.queryMember(round, member)));
             if (this.isComplete(round)) {
                 const tookMs = this.core.context.clock.now() - round.startedAt;
                 this.core.context.metrics.time("home.censusTime", tookMs);
@@ -92,16 +92,16 @@
         }
     }
 
-    /** Members that have not answered, or whose answer does not cover a slice that they own now. */
-    private listDue(round: Round): string[] {
-        const due = new Set(this.listMembers().filter(member => !round.answered.has(member)));
-        for (const slice of this.listOpenSlices(round)) {
+    /** Lists members that have not answered, or whose answer does not cover a slice that they own now. */
+    private listPendingMembers(round: Round): string[] {
+        const pending = new Set(this.listMembers().filter(member => !round.answered.has(member)));
+        for (const slice of this.listUncoveredSlices(round)) {
             const owner = this.core.context.ownership.getWorkerSliceOwner(slice);
             if (owner !== undefined) {
-                due.add(owner.memberId);
+                pending.add(owner.memberId);
             }
         }
-        return [...due];
+        return [...pending];
     }
 
     private async queryMember(round: Round, memberId: string): Promise<void> {
@@ -122,24 +122,26 @@
     }
 
     /**
-     * Guards against giving up a task that runs on a worker whose slice moves meanwhile: it shows as a slice whose
-     * owner or epoch in the table is not the one that covered it, and that owner is asked again.
+     * Whether every member has answered and every worker slice is covered by its present owner.
+     *
+     * @remarks A worker slice that moves during the census could hide a running task, which would then be given up.
+     * Such a slice has another owner or epoch in the table than the one that covered it, so its owner is asked again.
      */
     private isComplete(round: Round): boolean {
         return this.core.mayOrder() && this.listMembers().every(member => round.answered.has(member)) &&
-            this.listOpenSlices(round).length === 0;
+            this.listUncoveredSlices(round).length === 0;
     }
 
-    private listOpenSlices(round: Round): number[] {
-        const open: number[] = [];
+    private listUncoveredSlices(round: Round): number[] {
+        const uncovered: number[] = [];
         for (let slice = 0; slice < WORKER_SLICES; slice++) {
             const owner = this.core.context.ownership.getWorkerSliceOwner(slice);
             const key = owner === undefined ? undefined : makeOwnerKey(owner.memberId, owner.epoch);
             if (key === undefined || round.covered.get(slice) !== key) {
-                open.push(slice);
+                uncovered.push(slice);
             }
         }
-        return open;
+        return uncovered;
     }
 
     private listMembers(): string[] {
@@ -148,12 +150,12 @@
 
     private pauseRound(): Promise<void> {
         return new Promise(resolve => {
-            this.core.context.clock.schedule(ROUND_PAUSE_MS, resolve);
+            this.core.context.clock.schedule(POLL_INTERVAL_MS, resolve);
         });
     }
 }
 
-const NAMES_SHOWN = 5;
+const MAX_NAMES_SHOWN = 5;
 
 function makeOwnerKey(memberId: string, epoch: number): string {
     return `${memberId} ${epoch}`;
--- a/src/process/home/run/core.ts
+++ b/src/process/home/run/core.ts
@@ -1,4 +1,4 @@
-/** What the parts of one open home slice share. */
+/** State and helpers shared by the parts of one open home slice. */
 import type { HomeFence } from "../../../connection/messages.js";
 import type { BranchSettings } from "../../../version/settings.js";
 import { DEFAULT_BRANCH } from "../../../version/settings.js";
@@ -7,13 +7,13 @@
 import type { HomeOptions } from "../options.js";
 import type { HomeState } from "../state/index.js";
 
-/** Settings of a branch that decide here; the defaults where the branch is gone from the tree. */
+/** Branch settings that the home uses; the defaults apply if the branch was removed from the settings tree. */
 export type HomeBranchSettings = Pick<
     BranchSettings,
     "attemptTimeoutMs" | "maxAttempts" | "maxRunMs" | "retentionMs"
 >;
 
-/** One open slice. */
+/** Identity, durable state and dependencies of one open home slice. */
 export class SliceCore {
     readonly state: HomeState;
     private sequence = 0;
@@ -28,13 +28,13 @@
         this.state = log.state;
     }
 
-    /** Proof for the next order; rises with each. */
+    /** Makes the fence of the next order; its sequence number rises with each call. */
     makeFence(): HomeFence {
         this.sequence++;
         return { homeSlice: this.slice, epoch: this.epoch, sequence: this.sequence };
     }
 
-    /** Sequence that the next order will have. */
+    /** Sequence number that the next order will have. */
     getNextSequence(): number {
         return this.sequence + 1;
     }
@@ -42,8 +42,8 @@
     /**
      * Whether this entry may send orders for the slice at this moment.
      *
-     * @remarks Guards against a pause of any length: after it, another entry may own the slice. It is asked right
-     * before each order, and placers refuse what slips through by epoch.
+     * @remarks After a pause of the process of any length, another entry may own the slice. So this is checked right
+     * before each order; an order that still goes out too late is refused by the placer because of its old epoch.
      */
     mayOrder(): boolean {
         const owner = this.context.ownership.getHomeSliceOwner(this.slice);
@@ -51,7 +51,7 @@
             this.context.ownership.mayAct();
     }
 
-    /** Logs the choice of a placer. */
+    /** Logs which placer was chosen, and why. */
     logRoute(subject: string, branch: string, chosen: string, reason: string): void {
         this.context.log.decide({
             decision: "route",
--- a/src/process/home/run/dispatcher.ts
+++ b/src/process/home/run/dispatcher.ts
@@ -1,16 +1,16 @@
 /**
- * Offers waiting tasks to placers: urgent jobs first, teams in turn by weight, and a bounded number of orders
- * waiting at each placer.
+ * Sends waiting tasks to placers: urgent jobs first, then teams by stride scheduling according to their weights,
+ * with a bounded number of orders queued at each placer.
  */
 import type { Millis } from "../../../common/clock.js";
 import { isWithin } from "../../../common/resources.js";
 import type { Resources } from "../../../common/resources.js";
 import type { JobRun, LiveAttempt } from "./job-run.js";
-import type { PlacerCandidate } from "./placer-choice.js";
+import type { PlacerCandidate } from "./placer-selector.js";
 import type { TaskEngine } from "./task-engine.js";
 
-/** Jobs of one team looked at in one round when the first ones find no placer. */
-const JOBS_SCANNED = 64;
+/** Limit on the jobs of one team that are examined for one offer when the first ones find no placer. */
+const MAX_JOBS_SCANNED = 64;
 const KIND_RANK: Readonly<Record<string, number>> = { short: 0, batch: 1, gang: 2 };
 
 interface TeamQueue {
@@ -19,20 +19,20 @@
     readonly weight: number;
 }
 
-/** Offers tasks of jobs that are not gangs. */
+/** Offers the tasks of jobs that are not gangs. */
 export class Dispatcher {
-    /** Position of each team on the common scale: the lowest goes next (stride scheduling). */
+    /** Stride-scheduling pass of each team; the team with the lowest pass goes next. */
     private readonly passes = new Map<string, number>();
 
     constructor(private readonly engine: TaskEngine) {}
 
-    /** Makes the offers of one round. */
+    /** Makes the offers of one round, at most `offersPerTick`. */
     offerTasks(now: Millis): void {
         if (!this.engine.core.mayOrder()) {
             return;
         }
-        const candidates = this.engine.choice.listCandidates();
-        const budget = { left: this.engine.core.options.offersPerTick };
+        const candidates = this.engine.selector.listCandidates();
+        const budget = { remaining: this.engine.core.options.offersPerTick };
         for (const isUrgent of [true, false]) {
             this.offerTier(this.listTeams(isUrgent), candidates, now, budget);
         }
@@ -42,35 +42,35 @@
         teams: TeamQueue[],
         candidates: readonly PlacerCandidate[],
         now: Millis,
-        budget: { left: number; },
+        budget: { remaining: number; },
     ): void {
-        while (teams.length > 0 && budget.left > 0) {
+        while (teams.length > 0 && budget.remaining > 0) {
             const team = this.pickTeam(teams);
             const live = this.offerNext(team, candidates, now);
             if (live === undefined) {
                 teams.splice(teams.indexOf(team), 1);
                 continue;
             }
-            budget.left--;
+            budget.remaining--;
             this.passes.set(team.team, (this.passes.get(team.team) ?? 0) + 1 / team.weight);
             this.engine.sendOrder(live);
         }
     }
 
-    /** Takes the first task of a team that some placer has a place in its window for. */
+    /** Registers an attempt at the team's first task for which some placer has free space in its order window. */
     private offerNext(
         team: TeamQueue,
         candidates: readonly PlacerCandidate[],
         now: Millis,
     ): LiveAttempt | undefined {
-        for (const run of team.runs.slice(0, JOBS_SCANNED)) {
+        for (const run of team.runs.slice(0, MAX_JOBS_SCANNED)) {
             const index = run.findNext(now);
             if (index === undefined) {
                 team.runs.splice(team.runs.indexOf(run), 1);
                 continue;
             }
             const { resources, branch, urgent } = run.record.spec;
-            const chosen = this.engine.choice.chooseForTask(candidates, resources, branch, urgent);
+            const chosen = this.engine.selector.chooseForTask(candidates, resources, branch, urgent);
             if (chosen !== undefined) {
                 const live = this.engine.registerAttempt(run, index, chosen.memberId);
                 this.engine.core.logRoute(live.attempt, branch, chosen.memberId, "shorterQueueOfTwo");
@@ -106,18 +106,18 @@
         return [...teams.values()];
     }
 
-    /** A team that comes back from rest starts level with the others, so that it can't claim its idle time. */
+    /** Starts a team that was idle at the lowest pass of the others, so that it gets no credit for its idle time. */
     private syncPasses(teams: ReadonlyMap<string, TeamQueue>): void {
-        const known = [...teams.keys()].flatMap(team => this.passes.get(team) ?? []);
-        const level = known.length === 0 ? 0 : Math.min(...known);
+        const knownPasses = [...teams.keys()].flatMap(team => this.passes.get(team) ?? []);
+        const lowestPass = knownPasses.length === 0 ? 0 : Math.min(...knownPasses);
         for (const team of this.passes.keys()) {
-            if (!teams.has(team) && (this.passes.get(team) ?? 0) <= level) {
+            if (!teams.has(team) && (this.passes.get(team) ?? 0) <= lowestPass) {
                 this.passes.delete(team);
             }
         }
         for (const team of teams.keys()) {
             if (!this.passes.has(team)) {
-                this.passes.set(team, level);
+                this.passes.set(team, lowestPass);
             }
         }
     }
@@ -131,25 +131,25 @@
 
 const MIN_WEIGHT = 0.001;
 
-/** Short runs before batches; within a kind the older first, which the map's order gives (stable sort). */
+/** Ranks short jobs before batches. Within a kind, the stable sort keeps the map's order: oldest first. */
 function rankRun(run: JobRun): number {
     return KIND_RANK[run.record.spec.kind] ?? 1;
 }
 
 /**
- * Says why no placer can take a task as things stand.
- * @param candidates - Placers that take work now.
- * @param need - What the task needs.
- * @returns Undefined if some placer could.
+ * Explains why no placer can take a task: none is ready, or the task is larger than any worker.
+ * @param candidates - Placers that accept work now.
+ * @param demand - Resources of the task.
+ * @returns Undefined if some placer has a worker that is large enough.
  */
 export function describeMisfit(
     candidates: readonly PlacerCandidate[],
-    need: Resources,
+    demand: Resources,
 ): string | undefined {
     if (candidates.length === 0) {
         return "no placer is ready: entries are taking over workers, or none can be reached";
     }
-    if (candidates.some(({ load }) => isWithin(need, load.largestWorker))) {
+    if (candidates.some(({ load }) => isWithin(demand, load.largestWorker))) {
         return undefined;
     }
     const largest = candidates
@@ -157,7 +157,7 @@
         .map(({ load }) => load.largestWorker)
         .map(worker => `${worker.cpuMillis}m/${worker.memoryMib}MiB/${worker.accelerators}acc`);
     const sizes = [...new Set(largest)].join(", ");
-    return `it can never fit: it needs ${need.cpuMillis}m processors, ${need.memoryMib} MiB and ` +
-        `${need.accelerators} accelerators, and the largest workers have ${sizes}; ` +
+    return `it can never fit: it needs ${demand.cpuMillis}m processors, ${demand.memoryMib} MiB and ` +
+        `${demand.accelerators} accelerators, and the largest workers have ${sizes}; ` +
         "make the tasks smaller, or add a larger worker (it is looked at again when the fleet changes)";
 }
--- a/src/process/home/run/explain.ts
+++ b/src/process/home/run/explain.ts
@@ -1,17 +1,15 @@
-/** Says in words why a job is as it is. */
+/** Explains the state of a job in words. */
 import type { HomeReply } from "../../../connection/messages.js";
 import { TaskCode } from "../state/index.js";
 import type { JobRecord } from "../state/index.js";
 import type { JobRun, LiveAttempt } from "./job-run.js";
 import type { TaskEngine } from "./task-engine.js";
 
-const ATTEMPTS_SHOWN = 10;
+const MAX_ATTEMPTS_SHOWN = 10;
 
 /**
- * Explains a job.
- * @param engine - Attempts of the slice.
- * @param record - The job.
- * @param census - What the census still misses; undefined when none is under way.
+ * Explains the state of a job and of its first live attempts.
+ * @param census - Answers that a census still misses; undefined when none is in progress.
  */
 export function explainJob(engine: TaskEngine, record: JobRecord, census: string | undefined): HomeReply {
     const run = engine.runs.get(record.jobId);
@@ -23,7 +21,7 @@
     if (record.cancelled) {
         lines.push("It is cancelled; tasks that run are being stopped.");
     }
-    if (run.found !== undefined) {
+    if (run.recoveredUpdates !== undefined) {
         lines.push("Another entry had it before: tasks start only when it is known what runs already.");
     }
     if (census !== undefined) {
@@ -38,7 +36,7 @@
     if (run.reason !== "" && record.countOpen() > run.running) {
         lines.push(`Waiting tasks: ${run.reason}.`);
     }
-    const shown = [...run.live.values()].slice(0, ATTEMPTS_SHOWN);
+    const shown = [...run.live.values()].slice(0, MAX_ATTEMPTS_SHOWN);
     lines.push(...shown.map(describeAttempt));
     return { kind: "explanation", lines };
 }
--- a/src/process/home/run/gang-desk.ts
+++ b/src/process/home/run/gang-coordinator.ts
@@ -1,31 +1,31 @@
 /**
- * Starts gangs: room for all tasks is held at placers before any task starts.
+ * Starts gangs: capacity for all tasks is reserved at placers before any task starts.
  *
- * @remarks One gang of a slice reserves at a time and asks the placers in the order of their ids; a hold that
- * does not lead to a start is given back at once and ends by itself after its time. So no two gangs can each keep
- * what the other needs: nobody waits while holding.
+ * @remarks One gang of a slice reserves at a time and asks the placers in the order of their ids. A hold that does
+ * not lead to a start is released at once, and expires by itself if the release is lost. No gang waits while it
+ * holds capacity, so two gangs cannot deadlock by each holding what the other needs.
  */
 import type { Millis } from "../../../common/clock.js";
 import { packRanges } from "../state/index.js";
 import { describeMisfit } from "./dispatcher.js";
 import type { JobRun } from "./job-run.js";
-import type { PlacerCandidate } from "./placer-choice.js";
+import type { PlacerCandidate } from "./placer-selector.js";
 import { hasMarker } from "./task-engine.js";
 import type { TaskEngine } from "./task-engine.js";
 
 const FIRST_BACKOFF_MS: Millis = 500;
 const MAX_BACKOFF_MS: Millis = 15_000;
-/** Part of a hold's time that may have passed when its commit is sent: the rest covers the way and drift. */
+/** Share of a hold's duration within which its commit must be sent; the rest covers transit and clock drift. */
 const USABLE_HOLD_SHARE = 0.6;
 
-/** A task of a gang and where it is held. */
+/** A task of a gang with the placer that holds capacity for it. */
 interface HeldTask {
     readonly index: number;
     readonly attempt: string;
     readonly placer: string;
 }
 
-/** Ids of a gang's next start; used up once its orders are sent. */
+/** Ids for the next start of a gang; discarded once its orders are sent. */
 interface GangPlan {
     readonly gangId: string;
     readonly attempts: Map<number, string>;
@@ -36,26 +36,26 @@
     readonly rounds: number;
 }
 
-/** The gangs of one slice. */
-export class GangDesk {
+/** Reserves capacity for the gangs of one slice and starts them. */
+export class GangCoordinator {
     private isReserving = false;
-    private gangs = 0;
-    /** Ids kept over tries to reserve, so that a placer knows the gang again and keeps room for it. */
+    private lastGangNumber = 0;
+    /** Ids kept between attempts to reserve, so that a placer recognizes the gang and keeps capacity for it. */
     private readonly plans = new Map<string, GangPlan>();
     private readonly backoffs = new Map<string, Backoff>();
 
     constructor(private readonly engine: TaskEngine, private readonly isStopped: () => boolean) {}
 
-    /** Looks after gangs that broke, and starts the next that is due. */
+    /** Stops gangs of which a task must start again, and begins to reserve for the next gang that is due. */
     stepGangs(now: Millis): void {
         let next: JobRun | undefined;
-        this.dropEnded();
+        this.dropEndedJobs();
         for (const run of this.engine.runs.values()) {
-            if (run.record.spec.kind !== "gang" || run.found !== undefined) {
+            if (run.record.spec.kind !== "gang" || run.recoveredUpdates !== undefined) {
                 continue;
             }
             if (run.live.size > 0) {
-                this.stopBroken(run);
+                this.stopBrokenGang(run);
                 continue;
             }
             const isDue = run.canStart() && (this.backoffs.get(run.record.jobId)?.until ?? 0) <= now;
@@ -71,7 +71,7 @@
         }
     }
 
-    private dropEnded(): void {
+    private dropEndedJobs(): void {
         for (const jobId of [...this.backoffs.keys(), ...this.plans.keys()]) {
             if (!this.engine.runs.has(jobId)) {
                 this.backoffs.delete(jobId);
@@ -80,8 +80,8 @@
         }
     }
 
-    /** A task of the gang has to start again: the others are stopped, and then all start together. */
-    private stopBroken(run: JobRun): void {
+    /** Stops the other tasks of a gang of which one must start again, so that all can start together. */
+    private stopBrokenGang(run: JobRun): void {
         if (!run.isGangBroken) {
             return;
         }
@@ -94,11 +94,11 @@
 
     private async startGang(run: JobRun): Promise<void> {
         run.isGangBroken = false;
-        const { core, choice } = this.engine;
+        const { core, selector } = this.engine;
         const startedAt = core.context.clock.now();
         const plan = this.ensurePlan(run);
         const { gangId } = plan;
-        const candidates = choice.listCandidates();
+        const candidates = selector.listCandidates();
         const { held, missing, moreAfterMs } = await this.reserveAll(run, plan, candidates);
         if (missing > 0) {
             run.reason = describeMisfit(candidates, run.record.spec.resources) ??
@@ -108,19 +108,19 @@
             this.releaseAll(run, held, moreAfterMs);
             return;
         }
-        const limit = core.options.gangHoldMs * USABLE_HOLD_SHARE;
-        const getLeft = () => startedAt + limit - core.context.clock.now();
-        if (!await this.markAll(run, getLeft())) {
+        const usableMs = core.options.gangHoldMs * USABLE_HOLD_SHARE;
+        const getRemainingMs = () => startedAt + usableMs - core.context.clock.now();
+        if (!await this.markAll(run, getRemainingMs())) {
             run.reason = "its start markers could not be written in time";
             this.releaseAll(run, held, undefined);
             return;
         }
-        const mayStart = getLeft() > 0 && run.canStart() && core.mayOrder() && !this.isStopped();
+        const mayStart = getRemainingMs() > 0 && run.canStart() && core.mayOrder() && !this.isStopped();
         if (!mayStart) {
             this.releaseAll(run, held, undefined);
             return;
         }
-        // Should it break at once, it does not start again at once.
+        // If a task fails to start, the gang waits for this backoff before it reserves again.
         this.pauseGang(run, FIRST_BACKOFF_MS);
         this.plans.delete(run.record.jobId);
         this.commitAll(run, held, gangId);
@@ -130,8 +130,11 @@
         const { jobId } = run.record;
         let plan = this.plans.get(jobId);
         if (plan === undefined) {
-            this.gangs++;
-            plan = { gangId: `${jobId}.${this.engine.core.epoch}.${this.gangs}`, attempts: new Map() };
+            this.lastGangNumber++;
+            plan = {
+                gangId: `${jobId}.${this.engine.core.epoch}.${this.lastGangNumber}`,
+                attempts: new Map(),
+            };
             this.plans.set(jobId, plan);
         }
         return plan;
@@ -152,7 +155,7 @@
         }
     }
 
-    /** Asks placer after placer for room, until all tasks are held or nobody is left. */
+    /** Asks the placers one by one to hold capacity, until all tasks are held or no placer is left. */
     private async reserveAll(
         run: JobRun,
         plan: GangPlan,
@@ -162,7 +165,7 @@
         readonly missing: number;
         readonly moreAfterMs: Millis | undefined;
     }> {
-        let waiting = run.listFree().map(index => ({
+        let waiting = run.listUnassigned().map(index => ({
             index,
             attempt: this.ensureAttempt(run, plan, index),
         }));
@@ -173,8 +176,8 @@
                 break;
             }
             const answer = await this.reserveAt(run, plan.gangId, memberId, waiting);
-            const taken = waiting.slice(0, answer.held);
-            held.push(...taken.map(task => ({ ...task, placer: memberId })));
+            const accepted = waiting.slice(0, answer.held);
+            held.push(...accepted.map(task => ({ ...task, placer: memberId })));
             waiting = waiting.slice(answer.held);
             if (answer.moreAfterMs !== undefined) {
                 moreAfterMs = Math.min(moreAfterMs ?? Infinity, answer.moreAfterMs);
@@ -205,20 +208,21 @@
             return result.body;
         }
         if (result.kind === "lost") {
-            // It may hold them: tell it not to. If this is lost too, the hold ends by its time.
+            // The placer may hold the tasks, so they are withdrawn. If that is lost too, the hold expires.
             waiting.forEach(task => this.engine.outbox.addWithdrawal(memberId, task.attempt));
         }
         return { held: 0 };
     }
 
-    private async markAll(run: JobRun, patienceMs: Millis): Promise<boolean> {
-        const open = run.listFree().filter(index => !hasMarker(run, index));
-        if (run.record.spec.repeatable || open.length === 0) {
+    /** Writes the start markers that are missing; returns whether they are durable within the timeout. */
+    private async markAll(run: JobRun, timeoutMs: Millis): Promise<boolean> {
+        const unmarked = run.listUnassigned().filter(index => !hasMarker(run, index));
+        if (run.record.spec.repeatable || unmarked.length === 0) {
             return true;
         }
-        const ranges = packRanges(open);
+        const ranges = packRanges(unmarked);
         const entry = { kind: "tasksStarting", jobId: run.record.jobId, ranges } as const;
-        const result = await this.engine.core.log.commit([entry], Math.max(1, patienceMs));
+        const result = await this.engine.core.log.commit([entry], Math.max(1, timeoutMs));
         return result.kind === "durable";
     }
 
@@ -229,13 +233,13 @@
         this.pauseGang(run, moreAfterMs);
     }
 
-    /** Holds a gang back for longer each time, or for about as long as the placers ask. */
-    private pauseGang(run: JobRun, askedMs: Millis | undefined): void {
+    /** Delays the next attempt: exponential backoff with jitter, or the delay that placers asked for if shorter. */
+    private pauseGang(run: JobRun, requestedMs: Millis | undefined): void {
         const { clock, random } = this.engine.core.context;
         const rounds = (this.backoffs.get(run.record.jobId)?.rounds ?? 0) + 1;
-        const grown = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(rounds, MAX_DOUBLINGS));
-        const asked = Math.max(FIRST_BACKOFF_MS, askedMs ?? grown);
-        const pause = Math.min(grown, asked) * (1 + random.pickFraction());
+        const exponential = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(rounds, MAX_DOUBLINGS));
+        const requested = Math.max(FIRST_BACKOFF_MS, requestedMs ?? exponential);
+        const pause = Math.min(exponential, requested) * (1 + random.pickFraction());
         this.backoffs.set(run.record.jobId, { until: clock.now() + pause, rounds });
     }
 }
--- a/src/process/home/run/job-desk.ts
+++ b/src/process/home/run/job-request-handler.ts
@@ -1,4 +1,4 @@
-/** What callers ask about jobs: handing in, showing, waiting, cancelling. */
+/** Handles callers' requests about jobs: submit, show, wait and cancel. */
 import type { HomeReply, HomeRequest } from "../../../connection/messages.js";
 import type { JobSpec } from "../../../request/work.js";
 import type { HomeEntry, JobRecord, TaskEnd } from "../state/index.js";
@@ -11,22 +11,22 @@
 
 type SubmitRequest = Extract<HomeRequest, { readonly kind: "submitJob"; }>;
 type WaitRequest = Extract<HomeRequest, { readonly kind: "waitJob"; }>;
-/** A question about one job. */
-export type JobQuestion = Pick<WaitRequest, "jobId" | "team">;
+/** Identifies a job to show or cancel; operators give no team. */
+export type JobQuery = Pick<WaitRequest, "jobId" | "team">;
 
 interface PendingSubmit {
     readonly request: SubmitRequest;
     readonly reply: Promise<HomeReply>;
 }
 
-/** Jobs of one slice, towards callers. */
-export class JobDesk {
+/** Handles the requests about the jobs of one slice. */
+export class JobRequestHandler {
     private readonly pending = new Map<string, PendingSubmit>();
     private waiters = 0;
 
     constructor(private readonly engine: TaskEngine) {}
 
-    /** Accepts a job; answers only once it is durable. */
+    /** Accepts a job and replies once it is durable. A repeat with the same content gets the existing job. */
     async submitJob(request: SubmitRequest): Promise<HomeReply> {
         const existing = this.engine.core.state.jobs.get(request.jobId);
         if (existing !== undefined) {
@@ -46,14 +46,14 @@
         return reply;
     }
 
-    showJob({ jobId, team }: JobQuestion): HomeReply {
+    showJob({ jobId, team }: JobQuery): HomeReply {
         const record = this.findJob(jobId, team);
         return record === undefined ?
             { kind: "notFound" } :
             buildJobReply(record, this.engine.runs.get(jobId), false);
     }
 
-    /** Answers when the job has ended or the time is over. */
+    /** Replies when the job has ended or `waitMs` has passed; at once if `maxWaiters` callers wait already. */
     async waitJob(request: WaitRequest): Promise<HomeReply> {
         const record = this.findJob(request.jobId, request.team);
         const run = this.engine.runs.get(request.jobId);
@@ -66,8 +66,8 @@
         return this.showJob(request);
     }
 
-    /** Cancels a job; what runs is stopped, and ends as it ends. */
-    async cancelJob({ jobId, team }: JobQuestion): Promise<HomeReply> {
+    /** Cancels a job: once that is durable, its running tasks are told to stop and end with their own outcomes. */
+    async cancelJob({ jobId, team }: JobQuery): Promise<HomeReply> {
         const record = this.findJob(jobId, team);
         if (record === undefined) {
             return { kind: "notFound" };
@@ -136,11 +136,12 @@
             return { kind: "notFound" };
         }
         const run = this.engine.openRun(record, false);
-        // Work that can never fit is told with the very answer that accepts it.
-        run.reason = describeMisfit(this.engine.choice.listCandidates(), record.spec.resources) ?? "";
+        // The reply that accepts a job already says if it can never fit.
+        run.reason = describeMisfit(this.engine.selector.listCandidates(), record.spec.resources) ?? "";
         return buildJobReply(record, run, true);
     }
 
+    /** Gives a repeated submission the reply to the first, which is still being written. */
     private async joinPending(pending: PendingSubmit, request: SubmitRequest): Promise<HomeReply> {
         if (!isSameWork(pending.request, request)) {
             return makeConflict(request.jobId);
@@ -149,7 +150,7 @@
         return reply.kind === "job" ? { ...reply, created: false } : reply;
     }
 
-    /** Jobs of another team are as good as absent; operators give no team. */
+    /** Finds a job; one of another team counts as absent. Operators give no team. */
     private findJob(jobId: string, team: string | undefined): JobRecord | undefined {
         const record = this.engine.core.state.jobs.get(jobId);
         return team === undefined || record?.caller.team === team ? record : undefined;
@@ -173,22 +174,22 @@
     }
 
     private buildCancellation(run: JobRun): HomeEntry {
-        // Before the census is complete nothing is known to be free: those tasks end when it is.
-        const free = run.found === undefined ? run.listFree() : [];
-        const never = packRanges(free.filter(index => !this.engine.mayHaveStarted(run, index)));
-        const maybe = packRanges(free.filter(index => this.engine.mayHaveStarted(run, index)));
+        // Until the census is complete, any task may have an attempt; the tasks end once it is complete.
+        const unassigned = run.recoveredUpdates === undefined ? run.listUnassigned() : [];
+        const never = packRanges(unassigned.filter(index => !this.engine.mayHaveStarted(run, index)));
+        const maybe = packRanges(unassigned.filter(index => this.engine.mayHaveStarted(run, index)));
         return { kind: "jobCancelled", jobId: run.record.jobId, never, maybe };
     }
 
-    /** After the cancellation is durable: attempts are withdrawn, and tasks that came free meanwhile end. */
+    /** Once the cancellation is durable: withdraws attempts and ends tasks that lost theirs while it was written. */
     private stopTasks(run: JobRun): void {
         for (const live of run.live.values()) {
             if (live.phase !== "marking" && live.phase !== "ending") {
                 this.engine.withdrawAttempt(live);
             }
         }
-        if (run.found === undefined) {
-            endFreeAsCancelled(this.engine, run);
+        if (run.recoveredUpdates === undefined) {
+            endUnassignedAsCancelled(this.engine, run);
         }
         this.engine.closeRunIfEnded(run);
         run.wakeWaiters();
@@ -197,19 +198,22 @@
 
 /**
  * Ends the tasks of a cancelled job that have no attempt.
- * @param engine - Attempts of the slice.
  * @param run - A job whose cancellation is durable.
- * @param except - Tasks that end in another way.
+ * @param except - Tasks to leave out, as they end with another outcome.
  */
-export function endFreeAsCancelled(engine: TaskEngine, run: JobRun, except: readonly number[] = []): void {
-    const left = new Set(except);
-    const ends = run.listFree().filter(index => !left.has(index)).map((index): TaskEnd => ({
+export function endUnassignedAsCancelled(
+    engine: TaskEngine,
+    run: JobRun,
+    except: readonly number[] = [],
+): void {
+    const excluded = new Set(except);
+    const ends = run.listUnassigned().filter(index => !excluded.has(index)).map((index): TaskEnd => ({
         index,
         outcome: { kind: "cancelled", started: engine.mayHaveStarted(run, index) },
-        attempts: run.countTries(index),
+        attempts: run.countAttempts(index),
     }));
     if (ends.length > 0) {
-        void engine.endFreeTasks(run, ends);
+        void engine.endUnassignedTasks(run, ends);
     }
 }
 
--- a/src/process/home/run/request-desk.ts
+++ b/src/process/home/run/keyed-request-handler.ts
@@ -1,8 +1,8 @@
 /**
  * Service requests that must not run twice: those that are not repeatable, and those with an idempotency key.
  *
- * @remarks A start marker is durable before the request goes to a placer, and its end before the caller is
- * answered. A marker without an end, found by a new owner, means that it may have run.
+ * @remarks A start marker is durable before the request is sent to a placer, and the outcome before the caller gets
+ * its reply. If a new owner finds a marker without an outcome, the request may have run.
  */
 import { createHash } from "node:crypto";
 import type { Millis } from "../../../common/clock.js";
@@ -11,24 +11,24 @@
 import type { HomeEntry } from "../state/index.js";
 import { decodeOutcome, encodeOutcome } from "../state/index.js";
 import type { SliceCore } from "./core.js";
-import { buildOverloaded, buildStoreAway, convertNotWritten } from "./refusals.js";
+import { buildOverloaded, buildStoreUnavailable, convertNotWritten } from "./refusals.js";
 import type { RequestSender } from "./request-sender.js";
 
-/** A request that goes through the home. */
+/** A service request with a key, which the owner of its home slice runs. */
 export type KeyedRequest = Extract<HomeRequest, { readonly kind: "runRequest"; }>;
 
-/** Longest answer that is kept for repeats, in bytes. */
-export const MAX_KEPT_ANSWER_BYTES = 250_000;
+/** Longest answer that is stored for repeats of a key, in bytes. */
+export const MAX_STORED_ANSWER_BYTES = 250_000;
 
 interface PendingRequest {
     readonly fingerprint: string;
     readonly reply: Promise<HomeReply>;
 }
 
-/** Requests of one slice. */
-export class RequestDesk {
+/** Handles the keyed requests of one slice. */
+export class KeyedRequestHandler {
     private readonly pending = new Map<string, PendingRequest>();
-    /** Instants before which a repeatable request of an earlier owner or a lost answer may still be running. */
+    /** Time, by key, until which a repeatable request whose outcome is unknown may still be running. */
     private readonly unsettledUntil = new Map<string, Millis>();
 
     constructor(private readonly core: SliceCore, private readonly sender: RequestSender) {}
@@ -37,7 +37,7 @@
         return this.pending.size;
     }
 
-    /** Deals with the requests that an owner before left without an end. */
+    /** Settles the requests that a previous owner left without an outcome; repeatable ones may run again later. */
     recoverRequests(): void {
         const now = this.core.context.clock.now();
         for (const record of this.core.state.requests.values()) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Forgets which tries may still be running, once they no longer can. */
+    /** Forgets unsettled requests that can no longer be running. */
     expireUnsettled(): void {
         const now = this.core.context.clock.now();
         for (const [requestKey, until] of this.unsettledUntil) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Runs a request, or returns what came of it before. */
+    /** Runs a request, or returns the outcome of an earlier request with the same key and content. */
     async runRequest(request: KeyedRequest): Promise<HomeReply> {
         this.expireUnsettled();
         const fingerprint = makeFingerprint(request);
@@ -100,16 +100,22 @@
         fingerprint: string,
         hasMarker: boolean,
     ): Promise<HomeReply> {
-        const work = new RequestWork(this.core, this.sender, request, fingerprint, this.unsettledUntil);
-        const reply = work.run(hasMarker);
+        const execution = new RequestExecution(
+            this.core,
+            this.sender,
+            request,
+            fingerprint,
+            this.unsettledUntil,
+        );
+        const reply = execution.run(hasMarker);
         this.pending.set(request.requestKey, { fingerprint, reply });
-        void work.settled.then(() => {
+        void execution.settled.then(() => {
             this.pending.delete(request.requestKey);
         });
         return reply;
     }
 
-    /** The same key twice at once: the second waits for the outcome of the first. */
+    /** Lets a request wait for the outcome of a pending one with the same key. */
     private joinPending(pending: PendingRequest, deadlineMs: Millis): Promise<HomeReply> {
         return new Promise(resolve => {
             const timer = this.core.context.clock.schedule(deadlineMs, () => {
@@ -124,9 +130,9 @@
     }
 }
 
-/** One request under way. */
-class RequestWork {
-    /** Resolves when nothing of it is under way any more, which may be after its reply. */
+/** The execution of one request: start marker, calls to placers, and outcome. */
+class RequestExecution {
+    /** Resolves when nothing of it is in progress any more, which may be after its reply. */
     readonly settled: Promise<void>;
     private finish: () => void = () => undefined;
     private readonly deadline: Millis;
@@ -162,7 +168,7 @@
         return this.settleOutcome(result);
     }
 
-    /** @returns The outcome if the marker is not durable: then the request surely never runs. */
+    /** @returns The refusal if the marker is not durable; the request then never runs. */
     private async writeMarker(): Promise<Outcome | undefined> {
         const { requestKey, branch, repeatable } = this.request;
         const { attemptTimeoutMs } = this.core.getBranch(branch);
@@ -176,8 +182,8 @@
             settleMs,
             branch,
         };
-        const patienceMs = Math.min(this.core.options.writeTimeoutMs, this.request.deadlineMs);
-        const result = await this.core.log.commit([entry], patienceMs);
+        const timeoutMs = Math.min(this.core.options.writeTimeoutMs, this.request.deadlineMs);
+        const result = await this.core.log.commit([entry], timeoutMs);
         switch (result.kind) {
             case "durable":
                 return undefined;
@@ -185,7 +191,7 @@
                 this.finish();
                 return convertNotWritten(result);
             case "uncertain":
-                // It is not sent, whatever becomes of the marker; if the marker came to stand, it is taken back.
+                // The request is not sent in either case; if the marker was written after all, it is removed.
                 void result.settled.then(end => {
                     if (end.kind === "durable") {
                         void this.dropKey();
@@ -194,7 +200,7 @@
                         this.finish();
                     }
                 });
-                return buildStoreAway();
+                return buildStoreUnavailable();
         }
     }
 
@@ -207,7 +213,7 @@
                 if (this.request.repeatable) {
                     return this.settleLostRepeatable(outcome.message);
                 }
-                // Without an end the marker says the same, so the caller need not wait for the store.
+                // A marker without an outcome means the same, so the caller need not wait for the store.
                 void this.writeEnd(outcome);
                 return { kind: "outcome", outcome, repeated: false };
             default:
@@ -215,7 +221,7 @@
         }
     }
 
-    /** It may still be running; a repeat of the key starts it again once that is over. */
+    /** Replies that the request may still be running; a repeat of the key runs it again once it no longer can be. */
     private settleLostRepeatable(message: string): HomeReply {
         const { attemptTimeoutMs } = this.core.getBranch(this.request.branch);
         const now = this.core.context.clock.now();
@@ -225,13 +231,13 @@
         return { kind: "uncertain", message };
     }
 
-    /** The end is durable before the caller is answered, so that a repeat can never get another outcome. */
+    /** Replies once the outcome is durable, so that a repeat can never get another outcome. */
     private replyWhenDurable(outcome: Outcome): Promise<HomeReply> {
         return new Promise(resolve => {
-            const left = this.deadline - this.core.context.clock.now();
+            const remainingMs = this.deadline - this.core.context.clock.now();
             const message = "it ran, but its end could not be written in time: ask again with the same key";
             const timer = this.core.context.clock.schedule(
-                left,
+                remainingMs,
                 () => resolve({ kind: "uncertain", message }),
             );
             void this.writeEnd(outcome).then(isDurable => {
@@ -260,13 +266,14 @@
     }
 }
 
+/** Margin on the attempt timeout after which a request can no longer be running. */
 const SETTLE_FACTOR = 1.05;
 const LOST_OWNER_MESSAGE =
     "the entry that ran it was lost before its end was written; it is not started again";
 
-/** An answer too long to be kept still goes to the first caller whole; repeats are told that it ran. */
+/** Replaces an answer that is too long to store by a message that the request ran; the first caller still gets it. */
 function normalizeOutcome(outcome: Outcome): Outcome {
-    if (outcome.kind !== "done" || outcome.answer.length <= MAX_KEPT_ANSWER_BYTES) {
+    if (outcome.kind !== "done" || outcome.answer.length <= MAX_STORED_ANSWER_BYTES) {
         return outcome;
     }
     const message =
--- a/src/process/home/run/open-slice.ts
+++ b/src/process/home/run/open-slice.ts
@@ -1,4 +1,4 @@
-/** A home slice that is read back and serves: rounds of offers, updates, census, and callers' questions. */
+/** A home slice whose state is recovered: runs rounds of offers, applies updates, and serves callers' requests. */
 import { type Millis, sleep, type Timer } from "../../../common/clock.js";
 import {
     type CensusAnswer,
@@ -17,39 +17,39 @@
 import { SliceCore } from "./core.js";
 import { Dispatcher } from "./dispatcher.js";
 import { explainJob } from "./explain.js";
-import { GangDesk } from "./gang-desk.js";
-import { endFreeAsCancelled, JobDesk } from "./job-desk.js";
+import { GangCoordinator } from "./gang-coordinator.js";
+import { endUnassignedAsCancelled, JobRequestHandler } from "./job-request-handler.js";
 import type { JobRun, LiveAttempt } from "./job-run.js";
 import { AttemptPhase } from "./job-run.js";
+import { KeyedRequestHandler } from "./keyed-request-handler.js";
 import { Outbox } from "./outbox.js";
-import { PlacerChoice } from "./placer-choice.js";
-import { RequestDesk } from "./request-desk.js";
+import { PlacerSelector } from "./placer-selector.js";
 import { RequestSender } from "./request-sender.js";
 import { collectExpired } from "./retention.js";
 import { hasMarker, LOST_MESSAGE, TaskEngine } from "./task-engine.js";
 import { applyUpdate, compareAttempts, receiveUpdate } from "./updates.js";
 
-const RETENTION_PERIOD_MS: Millis = 60_000;
-/** Longest wait for start markers under way before a hand-over. */
-const MARKING_PATIENCE_MS: Millis = 2_000;
-const RELEASE_POLL_MS: Millis = 20;
-const ENTRIES_PER_COMMIT = 500;
+const EXPIRY_INTERVAL_MS: Millis = 60_000;
+/** Longest wait for start markers that are being written before a handover. */
+const MARKING_TIMEOUT_MS: Millis = 2_000;
+const RELEASE_POLL_INTERVAL_MS: Millis = 20;
+const MAX_ENTRIES_PER_COMMIT = 500;
 
-/** An open slice. */
+/** Connects the parts of one open home slice and schedules its rounds. */
 export class OpenSlice {
     readonly core: SliceCore;
-    readonly requests: RequestDesk;
+    readonly requests: KeyedRequestHandler;
     readonly engine: TaskEngine;
-    private readonly jobs: JobDesk;
+    private readonly jobs: JobRequestHandler;
     private readonly outbox: Outbox;
     private readonly dispatcher: Dispatcher;
-    private readonly gangs: GangDesk;
+    private readonly gangs: GangCoordinator;
     private readonly census: Census;
     private isStopped = false;
     private isReleasing = false;
     private timer: Timer | undefined;
-    private tableKey = "";
-    private nextRetentionAt: Millis;
+    private ownersKey = "";
+    private nextExpiryAt: Millis;
     private nextSyncAt: Millis;
 
     constructor(
@@ -61,13 +61,13 @@
     ) {
         this.core = new SliceCore(context, options, slice, epoch, log);
         this.outbox = new Outbox(this.core);
-        const choice = new PlacerChoice(this.core);
-        this.engine = new TaskEngine(this.core, this.outbox, choice, () => this.scheduleRound(0));
-        this.jobs = new JobDesk(this.engine);
-        this.requests = new RequestDesk(this.core, new RequestSender(this.core, choice));
+        const selector = new PlacerSelector(this.core);
+        this.engine = new TaskEngine(this.core, this.outbox, selector, () => this.scheduleRound(0));
+        this.jobs = new JobRequestHandler(this.engine);
+        this.requests = new KeyedRequestHandler(this.core, new RequestSender(this.core, selector));
         this.dispatcher = new Dispatcher(this.engine);
         const isStopped = () => this.isStopped;
-        this.gangs = new GangDesk(this.engine, isStopped);
+        this.gangs = new GangCoordinator(this.engine, isStopped);
         this.census = new Census(
             this.core,
             {
@@ -76,11 +76,11 @@
             },
             isStopped,
         );
-        this.nextRetentionAt = context.clock.now() + RETENTION_PERIOD_MS;
+        this.nextExpiryAt = context.clock.now() + EXPIRY_INTERVAL_MS;
         this.nextSyncAt = context.clock.now();
     }
 
-    /** Takes up what an owner before left, and begins to serve. */
+    /** Resumes the jobs and requests that previous owners left open, and begins to serve. */
     start(): void {
         for (const record of this.core.state.jobs.values()) {
             if (!record.isEnded()) {
@@ -88,12 +88,12 @@
             }
         }
         this.requests.recoverRequests();
-        this.tableKey = this.makeTableKey();
+        this.ownersKey = this.makeOwnersKey();
         this.census.request();
         this.scheduleRound(0);
     }
 
-    /** Sends nothing more. */
+    /** Stops all rounds and releases waiting callers; nothing is sent afterwards. */
     stop(): void {
         this.isStopped = true;
         this.engine.isClosed = true;
@@ -104,36 +104,36 @@
     }
 
     /**
-     * Makes ready for a hand-over: offers nothing more, sends what was decided, and writes down which start markers
-     * surely started nothing.
+     * Prepares a handover: offers nothing more, sends pending orders, and records the start markers whose attempts
+     * are proved not to have started.
      *
-     * @remarks The failure it guards against: a planned replacement of an entry ends waiting work that must not run
-     * twice as "may have run". It would show as tasks lost in every rolling replacement. Orders that wait at placers
-     * are told by the placers in the next owner's census.
+     * @remarks Without that record, the next owner would end waiting tasks that are not repeatable as "may have run"
+     * in every rolling replacement of entries. Orders queued at placers are reported in the next owner's census.
      */
     async prepareRelease(): Promise<void> {
         this.isReleasing = true;
-        const deadline = this.context.clock.now() + MARKING_PATIENCE_MS;
+        const deadline = this.context.clock.now() + MARKING_TIMEOUT_MS;
         while ([...this.engine.listAttempts()].some(live => live.phase === AttemptPhase.marking)) {
             if (this.context.clock.now() >= deadline) {
                 break;
             }
-            await sleep(this.context.clock, RELEASE_POLL_MS);
+            await sleep(this.context.clock, RELEASE_POLL_INTERVAL_MS);
         }
         this.outbox.flush((memberId, order) => this.engine.handleUnsent(memberId, order));
         const entries = [...this.engine.runs.values()].flatMap(run => this.listDisprovedStarts(run));
-        for (let start = 0; start < entries.length; start += ENTRIES_PER_COMMIT) {
-            void this.core.log.commit(entries.slice(start, start + ENTRIES_PER_COMMIT));
+        for (let start = 0; start < entries.length; start += MAX_ENTRIES_PER_COMMIT) {
+            void this.core.log.commit(entries.slice(start, start + MAX_ENTRIES_PER_COMMIT));
         }
         this.stop();
     }
 
+    /** Builds an entry for each task that has a start marker, but no attempt that could have started. */
     private listDisprovedStarts(run: JobRun): readonly HomeEntry[] {
         const { record } = run;
-        if (run.found !== undefined || record.spec.repeatable) {
+        if (run.recoveredUpdates !== undefined || record.spec.repeatable) {
             return [];
         }
-        return run.listFree().filter(index => hasMarker(run, index)).map(index => ({
+        return run.listUnassigned().filter(index => hasMarker(run, index)).map(index => ({
             kind: "taskRequeued",
             jobId: record.jobId,
             index,
@@ -159,16 +159,16 @@
         }
     }
 
-    receiveUpdates(from: string, note: UpdateNote): void {
-        this.acceptUpdates(from, note.updates);
+    receiveUpdates(from: string, notification: UpdateNote): void {
+        this.acceptUpdates(from, notification.updates);
         this.scheduleRound(0);
     }
 
-    /** The ownership table changed: what a lost or changed owner had must be learned again. */
-    handleTable(): void {
-        const key = this.makeTableKey();
-        if (key !== this.tableKey) {
-            this.tableKey = key;
+    /** Requests a census if the owner or epoch of a worker slice has changed, as its attempts may have been lost. */
+    handleOwnershipChange(): void {
+        const key = this.makeOwnersKey();
+        if (key !== this.ownersKey) {
+            this.ownersKey = key;
             this.census.request();
         }
     }
@@ -193,49 +193,49 @@
         this.scheduleRound(0);
     }
 
-    /** Nobody else can know of work of this slice from before the census. */
+    /** Resumes recovered jobs, and resolves as lost the attempts that no placer reported in a complete census. */
     private handleCensus(startedAt: Millis, floor: number): void {
         for (const run of [...this.engine.runs.values()]) {
-            if (run.found !== undefined) {
-                this.resumeRun(run, run.found);
+            if (run.recoveredUpdates !== undefined) {
+                this.resumeRun(run, run.recoveredUpdates);
             }
         }
         for (const live of [...this.engine.listAttempts()]) {
             const isSent = live.phase !== AttemptPhase.marking && live.phase !== AttemptPhase.ending;
-            if (isSent && live.sequence < floor && live.heardAt < startedAt) {
+            if (isSent && live.sequence < floor && live.lastUpdateAt < startedAt) {
                 this.engine.resolveLost(live);
             }
         }
         this.scheduleRound(0);
     }
 
-    /** Goes on with a job of an owner before: what was found is adopted, the rest is surely not running. */
-    private resumeRun(run: JobRun, found: NonNullable<JobRun["found"]>): void {
-        run.found = undefined;
-        for (const { from, update, heardAt } of found.values()) {
+    /** Resumes a job of a previous owner: adopts the attempts that a census found; no other task can be running. */
+    private resumeRun(run: JobRun, recovered: NonNullable<JobRun["recoveredUpdates"]>): void {
+        run.recoveredUpdates = undefined;
+        for (const { from, update, receivedAt } of recovered.values()) {
             if (!run.record.isTaskOpen(update.index)) {
                 continue;
             }
             const live = this.engine.registerAttempt(run, update.index, from, update.attempt);
-            // Not the time of adoption: a census that begins at once has to tell whether the word still holds.
-            live.heardAt = heardAt;
+            // Not the time of adoption: the next census must be able to tell that the update is out of date.
+            live.lastUpdateAt = receivedAt;
             this.engine.setPhase(live, AttemptPhase.sent);
             if (run.record.cancelled) {
                 this.engine.withdrawAttempt(live);
             }
             applyUpdate(this.engine, live, update, from);
         }
-        const isBrokenGang = run.record.spec.kind === "gang" && run.live.size > 0;
-        const free = run.listFree();
-        run.isGangBroken ||= isBrokenGang && free.length > 0;
-        const marked = free.filter(index =>
+        const isStartedGang = run.record.spec.kind === "gang" && run.live.size > 0;
+        const unassigned = run.listUnassigned();
+        run.isGangBroken ||= isStartedGang && unassigned.length > 0;
+        const marked = unassigned.filter(index =>
             !run.record.spec.repeatable && hasMarker(run, index) &&
-            !isDisproved(run, found.get(index)?.update)
+            !isDisproved(run, recovered.get(index)?.update)
         );
         const outcome = { kind: "mayHaveRun", message: LOST_MESSAGE } as const;
-        void this.engine.endFreeTasks(run, marked.map(index => ({ index, outcome, attempts: 1 })));
+        void this.engine.endUnassignedTasks(run, marked.map(index => ({ index, outcome, attempts: 1 })));
         if (run.record.cancelled) {
-            endFreeAsCancelled(this.engine, run, marked);
+            endUnassignedAsCancelled(this.engine, run, marked);
         }
         run.wakeWaiters();
     }
@@ -244,40 +244,41 @@
         if (this.isStopped) {
             return;
         }
-        if (delay === 0 && this.isRoundNear) {
+        if (delay === 0 && this.isRoundImminent) {
             return;
         }
-        this.isRoundNear = delay === 0;
+        this.isRoundImminent = delay === 0;
         this.timer?.cancel();
         this.timer = this.context.clock.schedule(delay, () => {
-            this.isRoundNear = false;
+            this.isRoundImminent = false;
             this.runRound();
         });
     }
 
-    private isRoundNear = false;
+    private isRoundImminent = false;
 
     private runRound(): void {
         if (this.isStopped) {
             return;
         }
         const now = this.context.clock.now();
-        this.handleTable();
+        this.handleOwnershipChange();
         this.syncAttempts(now);
         if (!this.isReleasing) {
             this.gangs.stepGangs(now);
             this.dispatcher.offerTasks(now);
         }
         this.outbox.flush((memberId, order) => this.engine.handleUnsent(memberId, order));
-        this.expireOld(now);
-        if (!this.isRoundNear) {
+        this.expireEnded(now);
+        if (!this.isRoundImminent) {
             this.scheduleRound(this.core.options.tickMs);
         }
     }
 
     /**
-     * Orders and withdrawals may be lost on the way: they are sent again, ever less often, until a placer speaks of
-     * them. A placer passes over an order that it has seen and says nothing, so in the end a census asks.
+     * Sends orders and withdrawals that may have been lost again, with exponential backoff, until a placer reports
+     * the attempt. A placer ignores an order that it has seen without replying, so after
+     * {@link SENDS_BEFORE_CENSUS} sends a census is requested.
      */
     private syncAttempts(now: Millis): void {
         if (now < this.nextSyncAt) {
@@ -285,14 +286,14 @@
         }
         const { resendMs } = this.core.options;
         this.nextSyncAt = now + resendMs / SYNCS_PER_RESEND;
-        let isSilent = false;
+        let needsCensus = false;
         for (const live of this.engine.listAttempts()) {
             this.stopOverdue(live, now);
-            const pause = resendMs * 2 ** Math.min(live.sends, MAX_DOUBLINGS);
-            if (now - live.sentAt < pause) {
+            const resendDelay = resendMs * 2 ** Math.min(live.sendCount, MAX_DOUBLINGS);
+            if (now - live.sentAt < resendDelay) {
                 continue;
             }
-            isSilent ||= live.phase === AttemptPhase.sent && live.sends >= SENDS_BEFORE_CENSUS;
+            needsCensus ||= live.phase === AttemptPhase.sent && live.sendCount >= SENDS_BEFORE_CENSUS;
             if (live.isWithdrawn && live.phase !== AttemptPhase.ending) {
                 this.engine.withdrawAttempt(live);
             }
@@ -300,12 +301,12 @@
                 this.engine.sendOrder(live);
             }
         }
-        if (isSilent) {
+        if (needsCensus) {
             this.census.request();
         }
     }
 
-    /** A task that runs longer than its branch allows is stopped; it ends as failed once that is known. */
+    /** Stops a task that has run longer than the `maxRunMs` of its branch; it ends as failed once it has stopped. */
     private stopOverdue(live: LiveAttempt, now: Millis): void {
         const { maxRunMs } = this.core.getBranch(live.run.record.spec.branch);
         const isOver = live.phase === AttemptPhase.running && live.runningSince !== undefined &&
@@ -316,18 +317,20 @@
         }
     }
 
-    private expireOld(now: Millis): void {
-        if (now < this.nextRetentionAt) {
+    /** Removes ended work whose retention is over, once per {@link EXPIRY_INTERVAL_MS}. */
+    private expireEnded(now: Millis): void {
+        if (now < this.nextExpiryAt) {
             return;
         }
-        this.nextRetentionAt = now + RETENTION_PERIOD_MS;
+        this.nextExpiryAt = now + EXPIRY_INTERVAL_MS;
         const expired = collectExpired(this.core);
         if (expired !== undefined) {
             void this.core.log.commit([expired]);
         }
     }
 
-    private makeTableKey(): string {
+    /** Renders the owners and epochs of all worker slices, to detect changes. */
+    private makeOwnersKey(): string {
         const { ownership } = this.context;
         const owners: string[] = [];
         for (let slice = 0; slice < WORKER_SLICES; slice++) {
@@ -343,9 +346,10 @@
 const SENDS_BEFORE_CENSUS = 2;
 
 /**
- * Whether an update proves that the attempt of a task's start marker did not start. Word of an older attempt, told
- * again, says nothing of it; a newer one exists only because the marker's was proved not to have started, and would
- * have a marker of its own had it been allowed to start.
+ * Whether an update proves that the attempt with the task's start marker did not start.
+ *
+ * @remarks A repeated update about an older attempt proves nothing about the marked one. A newer attempt exists only
+ * because the marked one was proved not to have started, and would have its own marker if it were allowed to start.
  */
 function isDisproved(run: JobRun, update: TaskUpdate | undefined): boolean {
     const marked = update === undefined ? undefined : run.record.markers.get(update.index);
--- a/src/process/home/run/outbox.ts
+++ b/src/process/home/run/outbox.ts
@@ -1,21 +1,21 @@
-/** Notes to placers, collected for one round and sent in a few messages; withdrawals are paced. */
+/** One-way messages to placers, collected for one round and sent in batches; withdrawals are rate-limited. */
 import type { PlaceOrder } from "../../../connection/messages.js";
 import type { SliceCore } from "./core.js";
 
-const NOTE_LIMIT = 64;
-const ATTEMPTS_PER_NOTE = 512;
+const MAX_ORDERS_PER_NOTIFICATION = 64;
+const MAX_ATTEMPTS_PER_NOTIFICATION = 512;
 
 interface Withdrawal {
     readonly memberId: string;
     readonly attempt: string;
 }
 
-/** Called when a first order surely did not leave this entry. */
+/** Called with an order that was not handed to any connection, so the placer cannot have received it. */
 export type UnsentListener = (memberId: string, order: PlaceOrder) => void;
 
-/** Notes of one slice that wait to be sent. */
+/** Notifications of one slice that wait to be sent. */
 export class Outbox {
-    private readonly places = new Map<string, PlaceOrder[]>();
+    private readonly orders = new Map<string, PlaceOrder[]>();
     private readonly acknowledgements = new Map<string, string[]>();
     private readonly confirmations = new Map<string, string[]>();
     private withdrawals: Withdrawal[] = [];
@@ -23,7 +23,7 @@
     constructor(private readonly core: SliceCore) {}
 
     addOrder(memberId: string, order: PlaceOrder): void {
-        pushTo(this.places, memberId, order);
+        pushTo(this.orders, memberId, order);
     }
 
     addAcknowledgement(memberId: string, attempt: string): void {
@@ -43,8 +43,9 @@
     }
 
     /**
-     * Sends what is collected. Without the right to act nothing leaves; orders are then reported unsent.
-     * @param handleUnsent - Told of each order that no link took.
+     * Sends the collected notifications. While this entry may not order, orders are reported as unsent and
+     * confirmations stay in the outbox.
+     * @param handleUnsent - Called with each order that no connection accepted.
      */
     flush(handleUnsent: UnsentListener): void {
         this.flushAttempts("acknowledge", this.acknowledgements);
@@ -52,8 +53,8 @@
             this.flushAttempts("confirm", this.confirmations);
         }
         this.flushWithdrawals();
-        for (const [memberId, orders] of this.places) {
-            this.places.delete(memberId);
+        for (const [memberId, orders] of this.orders) {
+            this.orders.delete(memberId);
             for (const group of splitOrders(orders)) {
                 const isSent = this.core.mayOrder() &&
                     this.core.context.peers.note(memberId, { kind: "place", orders: group });
@@ -68,8 +69,8 @@
         const homeSlice = this.core.slice;
         for (const [memberId, attempts] of byMember) {
             byMember.delete(memberId);
-            for (let start = 0; start < attempts.length; start += ATTEMPTS_PER_NOTE) {
-                const part = attempts.slice(start, start + ATTEMPTS_PER_NOTE);
+            for (let start = 0; start < attempts.length; start += MAX_ATTEMPTS_PER_NOTIFICATION) {
+                const part = attempts.slice(start, start + MAX_ATTEMPTS_PER_NOTIFICATION);
                 this.core.context.peers.note(memberId, { kind, homeSlice, attempts: part });
             }
         }
@@ -88,7 +89,7 @@
     }
 }
 
-/** Orders of a gang stay in one note, since the note commits the gang's hold; others go in small groups. */
+/** Groups orders for sending. A gang's orders stay together, since their arrival commits the gang's hold. */
 function splitOrders(orders: readonly PlaceOrder[]): PlaceOrder[][] {
     const gangs = new Map<string, PlaceOrder[]>();
     const groups: PlaceOrder[][] = [];
@@ -98,7 +99,7 @@
             pushTo(gangs, order.gangId, order);
             continue;
         }
-        if (single.length === 0 || single.length >= NOTE_LIMIT) {
+        if (single.length === 0 || single.length >= MAX_ORDERS_PER_NOTIFICATION) {
             single = [];
             groups.push(single);
         }
--- a/src/process/home/run/placer-choice.ts
+++ b/src/process/home/run/placer-selector.ts
@@ -1,25 +1,26 @@
-/** Chooses the placer that an order goes to: power of two choices over what the placers last said of themselves. */
+/** Chooses the placer for an order, by the power of two choices over the load in the placers' last digests. */
 import type { Millis } from "../../../common/clock.js";
 import type { Resources } from "../../../common/resources.js";
 import { isWithin } from "../../../common/resources.js";
 import type { PlacerLoad } from "../../../connection/messages.js";
 import type { SliceCore } from "./core.js";
 
-/** A placer that takes work now. */
+/** A placer that accepts work now. */
 export interface PlacerCandidate {
     readonly memberId: string;
     readonly load: PlacerLoad;
 }
 
-/** Knows the placers as one slice sees them. */
-export class PlacerChoice {
-    /** Orders of this slice that wait at each placer. */
+/** Tracks this slice's queued orders and backoff for each placer, and selects placers by them. */
+export class PlacerSelector {
+    /** Number of this slice's orders that wait at each placer. */
     private readonly waiting = new Map<string, number>();
+    /** End of each pause, by member id and branch. */
     private readonly pausedUntil = new Map<string, Millis>();
 
     constructor(private readonly core: SliceCore) {}
 
-    /** Counts an order in or out of a placer's window. */
+    /** Adds `change` to the number of orders in a placer's window. */
     recordWaiting(memberId: string, change: number): void {
         const count = (this.waiting.get(memberId) ?? 0) + change;
         if (count <= 0) {
@@ -30,7 +31,7 @@
         }
     }
 
-    /** Leaves a placer alone for work of a branch, as it asked. */
+    /** Sends a placer no tasks of a branch for a while, after a refusal or a failed send. */
     pausePlacer(memberId: string, branch: string, durationMs: Millis): void {
         if (this.pausedUntil.size > MAX_PAUSES) {
             this.pausedUntil.clear();
@@ -38,18 +39,20 @@
         this.pausedUntil.set(`${memberId} ${branch}`, this.core.context.clock.now() + durationMs);
     }
 
-    /** Placers with a fresh digest that own a ready slice and are not shutting down, in order of member id. */
+    /** Lists the placers with a fresh digest that own a ready slice and are not draining, in order of member id. */
     listCandidates(): PlacerCandidate[] {
         const { peers, ownership, clock, settings } = this.core.context;
         const freshMs = settings.getCurrent()?.cell.freshMs ?? DEFAULT_FRESH_MS;
         const candidates: PlacerCandidate[] = [];
         for (const { memberId } of ownership.listMembers()) {
-            const heard = peers.getDigest(memberId);
-            if (heard === undefined || heard.digest.draining || clock.now() - heard.heardAt > freshMs) {
+            const received = peers.getDigest(memberId);
+            if (
+                received === undefined || received.digest.draining || clock.now() - received.heardAt > freshMs
+            ) {
                 continue;
             }
-            if (heard.digest.slices.some(slice => slice.ready)) {
-                candidates.push({ memberId, load: heard.digest.load });
+            if (received.digest.slices.some(slice => slice.ready)) {
+                candidates.push({ memberId, load: received.digest.load });
             }
         }
         return candidates.sort((left, right) => left.memberId < right.memberId ? -1 : 1);
@@ -57,24 +60,24 @@
 
     /**
      * Chooses a placer for one task.
-     * @returns Undefined if every placer that could ever hold it has enough waiting.
+     * @returns Undefined if each placer that could ever hold the task has a full window or is paused.
      */
     chooseForTask(
         candidates: readonly PlacerCandidate[],
-        need: Resources,
+        demand: Resources,
         branch: string,
         isUrgent: boolean,
     ): PlacerCandidate | undefined {
-        const window = this.core.options.placerWindow * (isUrgent ? URGENT_WINDOWS : 1);
+        const window = this.core.options.placerWindow * (isUrgent ? URGENT_WINDOW_FACTOR : 1);
         const now = this.core.context.clock.now();
         const fitting = candidates.filter(({ memberId, load }) =>
-            isWithin(need, load.largestWorker) && (this.waiting.get(memberId) ?? 0) < window &&
+            isWithin(demand, load.largestWorker) && (this.waiting.get(memberId) ?? 0) < window &&
             (this.pausedUntil.get(`${memberId} ${branch}`) ?? 0) <= now
         );
-        return this.chooseOfTwo(fitting, candidate => this.rankForTask(candidate, need));
+        return this.chooseOfTwo(fitting, candidate => this.rankForTask(candidate, demand));
     }
 
-    /** Chooses a placer for a service request: the one of two with the larger share of free slots. */
+    /** Chooses a placer for a service request: of two, the one with the larger share of slots left after its queue. */
     chooseForRequest(candidates: readonly PlacerCandidate[]): PlacerCandidate | undefined {
         const open = candidates.filter(({ load }) => load.totalSlots > 0);
         return this.chooseOfTwo(open, ({ load }) => (load.queuedRequests - load.freeSlots) / load.totalSlots);
@@ -97,15 +100,15 @@
         return rank(left) <= rank(right) ? left : right;
     }
 
-    /** Lower is better: room now goes first, then the shorter queue for each worker. */
-    private rankForTask({ memberId, load }: PlacerCandidate, need: Resources): number {
+    /** Ranks a placer, lower is better: free capacity for the task first, then the shorter queue per worker. */
+    private rankForTask({ memberId, load }: PlacerCandidate, demand: Resources): number {
         const queued = load.queuedTasks + (this.waiting.get(memberId) ?? 0);
-        const hasRoom = isWithin(need, load.largestFree);
-        return (hasRoom ? 0 : NO_ROOM_RANK) + queued / Math.max(1, load.workers);
+        const hasCapacity = isWithin(demand, load.largestFree);
+        return (hasCapacity ? 0 : NO_CAPACITY_RANK) + queued / Math.max(1, load.workers);
     }
 }
 
 const MAX_PAUSES = 10_000;
-const URGENT_WINDOWS = 2;
-const NO_ROOM_RANK = 1_000;
+const URGENT_WINDOW_FACTOR = 2;
+const NO_CAPACITY_RANK = 1_000;
 const DEFAULT_FRESH_MS: Millis = 3_000;
--- a/src/process/home/run/request-sender.ts
+++ b/src/process/home/run/request-sender.ts
@@ -1,46 +1,46 @@
-/** Sends a request with a start marker to placers, until one ran it, or may have, or none is left. */
+/** Sends a request with a start marker to one placer after the other, until one ran it or may have run it. */
 import type { Millis } from "../../../common/clock.js";
 import { buildNotRun, NotRunReason } from "../../../common/outcome.js";
 import type { Outcome } from "../../../common/outcome.js";
 import type { ServeCall } from "../../../connection/messages.js";
 import type { SliceCore } from "./core.js";
-import type { PlacerChoice } from "./placer-choice.js";
+import type { KeyedRequest } from "./keyed-request-handler.js";
+import type { PlacerSelector } from "./placer-selector.js";
 import { buildNotOwner } from "./refusals.js";
-import type { KeyedRequest } from "./request-desk.js";
 
-/** Placers that one request is sent to at most. */
+/** Limit on the placers that one request is sent to. */
 const MAX_PLACERS = 3;
 const NO_PLACER_RETRY_MS: Millis = 1_000;
 const DEADLINE_RETRY_MS: Millis = 1_000;
 
-/** Result of one try. `again`: it surely did not run, and another placer may be asked. */
-type TryResult =
+/** Result of one attempt. `again`: the request is proved not to have run, and another placer may be tried. */
+type AttemptResult =
     | { readonly kind: "final"; readonly outcome: Outcome; }
     | { readonly kind: "again"; readonly outcome: Outcome; };
 
-/** Sends requests of one slice. */
+/** Sends the keyed requests of one slice. */
 export class RequestSender {
-    constructor(private readonly core: SliceCore, private readonly choice: PlacerChoice) {}
+    constructor(private readonly core: SliceCore, private readonly selector: PlacerSelector) {}
 
     /**
-     * Has a request run.
+     * Sends a request to placers and returns its outcome.
      * @param request - A request whose start marker is durable.
-     * @param deadline - Instant by which its caller wants the answer.
-     * @returns `notRun` only with proof: each try was never sent, or refused.
+     * @param deadline - Clock time by which the caller wants the answer.
+     * @returns `notRun` only with proof: each attempt was refused, or never sent.
      */
     async sendRequest(request: KeyedRequest, deadline: Millis): Promise<Outcome> {
         const tried = new Set<string>();
-        let last: Outcome = refuseWithoutPlacer();
+        let lastOutcome: Outcome = refuseWithoutPlacer();
         while (tried.size < MAX_PLACERS) {
-            const left = deadline - this.core.context.clock.now();
-            if (left <= 0) {
+            const remainingMs = deadline - this.core.context.clock.now();
+            if (remainingMs <= 0) {
                 const remedy = "its deadline passed before it could be sent: allow more time";
                 return buildNotRun(NotRunReason.deadline, remedy, DEADLINE_RETRY_MS);
             }
-            const candidates = this.choice.listCandidates().filter(({ memberId }) => !tried.has(memberId));
-            const chosen = this.choice.chooseForRequest(candidates);
+            const candidates = this.selector.listCandidates().filter(({ memberId }) => !tried.has(memberId));
+            const chosen = this.selector.chooseForRequest(candidates);
             if (chosen === undefined) {
-                return last;
+                return lastOutcome;
             }
             if (!this.core.mayOrder()) {
                 return buildNotOwner("this entry cannot rule out that another has taken over: ask again");
@@ -48,20 +48,20 @@
             tried.add(chosen.memberId);
             const { requestId, branch } = request;
             this.core.logRoute(requestId, branch, chosen.memberId, "moreFreeSlotsOfTwo");
-            const result = await this.tryPlacer(chosen.memberId, request, left);
+            const result = await this.tryPlacer(chosen.memberId, request, remainingMs);
             if (result.kind === "final") {
                 return result.outcome;
             }
-            last = result.outcome;
+            lastOutcome = result.outcome;
         }
-        return last;
+        return lastOutcome;
     }
 
     private async tryPlacer(
         memberId: string,
         request: KeyedRequest,
-        left: Millis,
-    ): Promise<TryResult> {
+        remainingMs: Millis,
+    ): Promise<AttemptResult> {
         const home = this.core.makeFence();
         const call: ServeCall = {
             kind: "serve",
@@ -71,11 +71,11 @@
             branch: request.branch,
             body: request.body,
             contentType: request.contentType,
-            deadlineMs: left,
+            deadlineMs: remainingMs,
             avoid: [],
             home,
         };
-        const result = await this.core.context.peers.call(memberId, call, left);
+        const result = await this.core.context.peers.call(memberId, call, remainingMs);
         switch (result.kind) {
             case "notSent":
                 return { kind: "again", outcome: refuseWithoutPlacer() };
@@ -88,15 +88,15 @@
         }
         if (result.body.kind === "served") {
             const { outcome, retrySafe } = result.body;
-            const mayTryAgain = outcome.kind === "notRun" && retrySafe && !isFinalReason(outcome.reason);
-            return { kind: mayTryAgain ? "again" : "final", outcome };
+            const mayRetry = outcome.kind === "notRun" && retrySafe && !isFinalReason(outcome.reason);
+            return { kind: mayRetry ? "again" : "final", outcome };
         }
-        // An error answer had no effect.
+        // A placer that answers with an error has not run the request.
         return { kind: "again", outcome: refuseWithoutPlacer() };
     }
 }
 
-/** Reasons that another placer would give as well. */
+/** Whether any other placer would refuse for the same reason. */
 function isFinalReason(reason: NotRunReason): boolean {
     return reason === NotRunReason.branchOff || reason === NotRunReason.deadline;
 }
--- a/src/process/home/run/retention.ts
+++ b/src/process/home/run/retention.ts
@@ -1,13 +1,13 @@
-/** Forgets ended work whose retention is over. */
+/** Finds ended work whose retention time is over. */
 import type { HomeEntry } from "../state/index.js";
 import type { SliceCore } from "./core.js";
 
-/** Jobs and requests forgotten by one entry at most. */
-const EXPIRED_PER_ENTRY = 500;
+/** Limit on the jobs, and on the requests, that one log entry removes. */
+const MAX_EXPIRED_PER_ENTRY = 500;
 
 /**
- * Collects what may be forgotten now.
- * @param core - The slice; times are its log time, so a wall clock that jumps forgets nothing early.
+ * Collects ended jobs and requests whose retention is over, by log time: a jump of the wall clock expires nothing
+ * early.
  * @returns The entry to write, or undefined if nothing is due.
  */
 export function collectExpired(core: SliceCore): HomeEntry | undefined {
@@ -16,7 +16,8 @@
     for (const job of core.state.jobs.values()) {
         const { retentionMs } = core.getBranch(job.spec.branch);
         if (
-            job.endedAt !== undefined && now - job.endedAt > retentionMs && jobIds.length < EXPIRED_PER_ENTRY
+            job.endedAt !== undefined && now - job.endedAt > retentionMs &&
+            jobIds.length < MAX_EXPIRED_PER_ENTRY
         ) {
             jobIds.push(job.jobId);
         }
@@ -24,10 +25,10 @@
     const requestKeys: string[] = [];
     for (const request of core.state.requests.values()) {
         const { retentionMs } = core.getBranch(request.branch);
-        // A repeatable request whose answer was lost has no end: it is forgotten by its start.
+        // A repeatable request whose answer was lost has no end: its retention counts from its start.
         const endedAt = request.endedAt ?? (request.repeatable ? request.startedAt : undefined);
         const isOver = endedAt !== undefined && now - endedAt > retentionMs;
-        if (isOver && requestKeys.length < EXPIRED_PER_ENTRY) {
+        if (isOver && requestKeys.length < MAX_EXPIRED_PER_ENTRY) {
             requestKeys.push(request.requestKey);
         }
     }
--- a/src/process/home/run/task-engine.ts
+++ b/src/process/home/run/task-engine.ts
@@ -1,8 +1,8 @@
 /**
- * Attempts at tasks: starting them, what each update means, and ends.
+ * Attempts at tasks: their start, phases, retries and ends.
  *
- * @remarks A task has one attempt at most. The next begins only when the one before is proved not to have started
- * or to have ended: by an update, or by a complete census that nobody knows it in.
+ * @remarks A task has at most one attempt. The next begins only when the previous one is proved to have ended or not
+ * to have started: by an update, or by a complete census in which no placer reported it.
  */
 import type { Millis } from "../../../common/clock.js";
 import type { Outcome } from "../../../common/outcome.js";
@@ -14,45 +14,46 @@
 import type { LiveAttempt } from "./job-run.js";
 import { AttemptPhase, JobRun } from "./job-run.js";
 import type { Outbox } from "./outbox.js";
-import type { PlacerChoice } from "./placer-choice.js";
-import { computeLossPause, RETRY_BASE_MS } from "./retry-pause.js";
+import type { PlacerSelector } from "./placer-selector.js";
+import { computeLossBackoff, RETRY_BASE_MS } from "./retry-backoff.js";
 
 const SECOND_MS: Millis = 1_000;
-const ENDS_PER_ENTRY = 500;
+const MAX_ENDS_PER_ENTRY = 500;
 /**
- * Time for the start marker of a granted attempt: less than a placer holds the room. Markers are not queued longer,
- * or a store outage would pile up markers of attempts that are long over.
+ * Timeout for writing the start marker of a granted attempt, shorter than a placer holds the capacity. A longer
+ * timeout would queue up, in a store outage, markers of attempts that have ended long since.
  */
-const GRANT_PATIENCE_MS: Millis = 2_000;
+const GRANT_MARKER_TIMEOUT_MS: Millis = 2_000;
 const DEFAULT_STARTS_PER_SECOND = 50;
 
-/** States that say nothing final of an attempt. */
-const PASSING_STATES: readonly TaskUpdate["state"][] = ["queued", "granted", "running", "moved"];
+/** States of an update after which an attempt may still run. */
+const NON_FINAL_STATES: readonly TaskUpdate["state"][] = ["queued", "granted", "running", "moved"];
 
-/** Why a task that is not repeatable ends when its attempt is lost. */
+/** Message of the outcome of a task that is not repeatable and whose attempt is lost. */
 export const LOST_MESSAGE = "its entry, placer or worker was lost after it had been handed over; " +
     "it is not repeatable and is not started again";
 
-/** Attempts of one slice. */
+/** The open jobs of one slice and the live attempts at their tasks. */
 export class TaskEngine {
     readonly runs = new Map<string, JobRun>();
     private readonly attempts = new Map<string, LiveAttempt>();
-    /** Set when the slice is closed: nobody need wait here any longer. */
+    /** Set when the slice is closed; callers that wait for a job's end then return. */
     isClosed = false;
+    /** Earliest time at which the last lost task is started again; spaces the restarts after a correlated loss. */
     private nextRecoveryAt: Millis = -Infinity;
 
     constructor(
         readonly core: SliceCore,
         readonly outbox: Outbox,
-        readonly choice: PlacerChoice,
-        private readonly wake: () => void,
+        readonly selector: PlacerSelector,
+        private readonly scheduleRound: () => void,
     ) {}
 
-    /** Begins to work on a job that is durable. */
+    /** Opens the run of a job whose acceptance is durable. */
     openRun(record: JobRecord, isRecovered: boolean): JobRun {
         const run = new JobRun(record, isRecovered);
         this.runs.set(record.jobId, run);
-        this.wake();
+        this.scheduleRound();
         return run;
     }
 
@@ -64,7 +65,10 @@
         return this.attempts.get(attempt);
     }
 
-    /** Makes an attempt the current one of its task; nothing is sent yet. */
+    /**
+     * Makes an attempt the current one of its task; nothing is sent yet.
+     * @param attempt - Id of an adopted or planned attempt; by default a new one is made.
+     */
     registerAttempt(run: JobRun, index: number, placer: string, attempt?: string): LiveAttempt {
         const { clock } = this.core.context;
         const live: LiveAttempt = {
@@ -80,10 +84,10 @@
             gangId: undefined,
             isWithdrawn: false,
             isConfirmed: attempt !== undefined || run.record.spec.repeatable,
-            heardAt: clock.now(),
+            lastUpdateAt: clock.now(),
             runningSince: undefined,
             isOverdue: false,
-            sends: 0,
+            sendCount: 0,
         };
         run.live.set(index, live);
         this.attempts.set(live.attempt, live);
@@ -91,26 +95,28 @@
     }
 
     makeAttemptId(run: JobRun, index: number): string {
-        return `${run.record.jobId}.${index}.${this.core.epoch}.${run.takeTry(index)}`;
+        return `${run.record.jobId}.${index}.${this.core.epoch}.${run.takeAttemptNumber(index)}`;
     }
 
-    /** Puts the order of an attempt into the outbox, the first time or again. */
+    /** Puts the order of an attempt into the outbox, for the first time or to send it again. */
     sendOrder(live: LiveAttempt): void {
         const order = this.buildOrder(live.run, live.index, live.attempt, live.gangId);
         live.sequence = order.home.sequence;
         live.sentAt = this.core.context.clock.now();
-        live.sends++;
+        live.sendCount++;
         live.isConfirmed ||= live.gangId !== undefined;
         if (live.phase === AttemptPhase.marking) {
             this.setPhase(live, AttemptPhase.sent);
         }
         this.outbox.addOrder(live.placer, order);
-        this.wake();
+        this.scheduleRound();
     }
 
     /**
-     * Lets a granted attempt start, once its start marker is durable. A task that is not repeatable is marked only
-     * when a placer has room for it, so that the loss of an entry leaves few tasks of which nobody can tell.
+     * Lets a granted attempt start once its start marker is durable.
+     *
+     * @remarks A task that is not repeatable is marked only when a placer holds capacity for it, so that the loss of
+     * an entry leaves few tasks of which it is unknown whether they ran.
      */
     async confirmStart(live: LiveAttempt): Promise<void> {
         this.setPhase(live, AttemptPhase.granted);
@@ -121,16 +127,16 @@
             ranges: [[live.index, live.index]],
             attempt: live.attempt,
         };
-        const result = await this.core.log.commit([entry], GRANT_PATIENCE_MS);
+        const result = await this.core.log.commit([entry], GRANT_MARKER_TIMEOUT_MS);
         if (result.kind !== "durable") {
-            // The placer gives the room to others and says so; the task is offered again.
+            // The placer's hold expires and it reports that; the task is then offered again.
             return;
         }
         const isWanted = !record.cancelled && !live.run.isCancelling && !live.isWithdrawn;
         if (isWanted && live.phase === AttemptPhase.granted && this.attempts.get(live.attempt) === live) {
             live.isConfirmed = true;
             this.outbox.addConfirmation(live.placer, live.attempt);
-            this.wake();
+            this.scheduleRound();
         }
     }
 
@@ -156,17 +162,17 @@
         };
     }
 
-    /** The first order of an attempt left no trace: the task may go elsewhere. */
+    /** Returns a task whose first order was not sent, so that it can go to another placer. */
     handleUnsent(memberId: string, order: PlaceOrder): void {
         const live = this.attempts.get(order.attempt);
-        if (live === undefined || live.phase !== AttemptPhase.sent || live.sends > 1) {
+        if (live === undefined || live.phase !== AttemptPhase.sent || live.sendCount > 1) {
             return;
         }
-        this.choice.pausePlacer(memberId, order.branch, RETRY_BASE_MS);
+        this.selector.pausePlacer(memberId, order.branch, RETRY_BASE_MS);
         this.returnTask(live, RETRY_BASE_MS, `the link to ${memberId} is down`);
     }
 
-    /** Takes an attempt off the books; its task waits again. */
+    /** Removes an attempt; its task waits to be offered again. */
     returnTask(live: LiveAttempt, delayMs: Millis, reason: string): void {
         this.removeAttempt(live);
         live.run.reason = reason;
@@ -177,31 +183,33 @@
             live.run.returnTask(live.index, this.core.context.clock.now() + delayMs);
         }
         this.endIfCancelled(live);
-        this.wake();
+        this.scheduleRound();
     }
 
     /**
-     * Guards against a task of a cancelled job that waits for ever: the cancellation became durable while the end of
-     * the task's attempt was being written, and passed over it. Nothing offers it again and nothing else ends it.
+     * Ends the task of a removed attempt if its job is cancelled.
+     *
+     * @remarks A cancellation that became durable while the end of the attempt was being written did not cover the
+     * task. As it is not offered again either, the task would wait forever.
      */
     private endIfCancelled({ run, index }: LiveAttempt): void {
         if (!run.record.cancelled) {
             return;
         }
         const outcome = { kind: "cancelled", started: this.mayHaveStarted(run, index) } as const;
-        const attempts = Math.max(1, run.countTries(index));
-        void this.endFreeTasks(run, [{ index, outcome: encodeOutcome(outcome), attempts }]);
+        const attempts = Math.max(1, run.countAttempts(index));
+        void this.endUnassignedTasks(run, [{ index, outcome: encodeOutcome(outcome), attempts }]);
     }
 
-    /** As {@link returnTask}, for a lost attempt: a correlated loss is started again at a pace. */
+    /** As {@link returnTask}, for a lost attempt, with backoff and with restarts rate-limited after a mass loss. */
     returnLostTask(live: LiveAttempt, reason: string): void {
         const now = this.core.context.clock.now();
         this.nextRecoveryAt = Math.max(now, this.nextRecoveryAt + SECOND_MS / this.getRecoveryRate());
-        const pause = computeLossPause(live.run.countLosses(live.index));
+        const pause = computeLossBackoff(live.run.countLosses(live.index));
         this.returnTask(live, Math.max(pause, this.nextRecoveryAt - now), reason);
     }
 
-    /** Writes entries about an attempt that has ended, then acknowledges it. */
+    /** Writes an entry about an attempt that has ended; once durable, calls `finish` and acknowledges the end. */
     async settleAttempt(live: LiveAttempt, entry: HomeEntry, finish: () => void): Promise<void> {
         const placer = live.placer;
         this.setPhase(live, AttemptPhase.ending);
@@ -212,17 +220,17 @@
         finish();
         this.outbox.addAcknowledgement(placer, live.attempt);
         live.run.wakeWaiters();
-        this.wake();
+        this.scheduleRound();
     }
 
-    /** Ends a task by its attempt. */
+    /** Ends a task with the outcome of its attempt. */
     endTask(live: LiveAttempt, outcome: Outcome): void {
         const { run, index } = live;
         const end: TaskEnd = {
             index,
             outcome: encodeOutcome(outcome),
             workerId: live.workerId,
-            attempts: Math.max(1, run.countTries(index)),
+            attempts: Math.max(1, run.countAttempts(index)),
         };
         const entry: HomeEntry = { kind: "tasksEnded", jobId: run.record.jobId, ends: [end] };
         void this.settleAttempt(live, entry, () => {
@@ -231,7 +239,7 @@
         });
     }
 
-    /** Writes that an attempt ended without an end of its task, and lets the task wait again. */
+    /** Writes that an attempt ended but its task did not, and lets the task wait again. */
     retryTask(live: LiveAttempt, failures: number, checkpoint: string | undefined, delayMs: Millis): void {
         const { run, index } = live;
         const entry: HomeEntry = {
@@ -247,7 +255,7 @@
         });
     }
 
-    /** Nobody knows the attempt, and nobody can run it any more. */
+    /** Resolves an attempt that no placer knows or can still run: ends its task, or lets it wait again. */
     resolveLost(live: LiveAttempt): void {
         const { record } = live.run;
         if (live.isConfirmed) {
@@ -264,13 +272,13 @@
         }
     }
 
-    /** Ends tasks that have no attempt, such as those that no census found; none is offered from now on. */
-    async endFreeTasks(run: JobRun, ends: readonly TaskEnd[]): Promise<void> {
+    /** Ends tasks that have no attempt, such as those that a census did not find; they are no longer offered. */
+    async endUnassignedTasks(run: JobRun, ends: readonly TaskEnd[]): Promise<void> {
         for (const { index } of ends) {
             run.ending.add(index);
         }
-        for (let start = 0; start < ends.length; start += ENDS_PER_ENTRY) {
-            const part = ends.slice(start, start + ENDS_PER_ENTRY);
+        for (let start = 0; start < ends.length; start += MAX_ENDS_PER_ENTRY) {
+            const part = ends.slice(start, start + MAX_ENDS_PER_ENTRY);
             const { jobId } = run.record;
             const result = await this.core.log.commit([{ kind: "tasksEnded", jobId, ends: part }]);
             if (result.kind === "durable") {
@@ -280,7 +288,7 @@
         }
     }
 
-    /** Forgets the run of a job that has ended; its record stays until its retention is over. */
+    /** Removes the run of a job that has ended; its record stays until its retention is over. */
     closeRunIfEnded(run: JobRun): void {
         if (run.record.isEnded()) {
             this.runs.delete(run.record.jobId);
@@ -288,40 +296,41 @@
     }
 
     setPhase(live: LiveAttempt, phase: AttemptPhase): void {
-        const before = live.phase;
-        if (before === phase) {
+        const previous = live.phase;
+        if (previous === phase) {
             return;
         }
-        const change = Number(isWaiting(phase)) - Number(isWaiting(before));
-        this.choice.recordWaiting(live.placer, change);
-        live.run.running += Number(phase === AttemptPhase.running) - Number(before === AttemptPhase.running);
+        const change = Number(isWaiting(phase)) - Number(isWaiting(previous));
+        this.selector.recordWaiting(live.placer, change);
+        live.run.running += Number(phase === AttemptPhase.running) -
+            Number(previous === AttemptPhase.running);
         live.phase = phase;
     }
 
-    /** Follows a task to another placer, after its worker's slice has moved. */
+    /** Records that another placer now owns an attempt, after its worker's slice has moved. */
     movePlacer(live: LiveAttempt, placer: string): void {
         if (live.placer === placer) {
             return;
         }
         if (isWaiting(live.phase)) {
-            this.choice.recordWaiting(live.placer, -1);
-            this.choice.recordWaiting(placer, 1);
+            this.selector.recordWaiting(live.placer, -1);
+            this.selector.recordWaiting(placer, 1);
         }
         live.placer = placer;
     }
 
-    /** Has an attempt stopped wherever it is; repeated by the sync until its end is known. */
+    /** Tells an attempt's placer to withdraw or stop it; sent again periodically until its end is known. */
     withdrawAttempt(live: LiveAttempt): void {
         live.isWithdrawn = true;
-        live.sends++;
+        live.sendCount++;
         live.sentAt = this.core.context.clock.now();
         this.outbox.addWithdrawal(live.placer, live.attempt);
-        this.wake();
+        this.scheduleRound();
     }
 
     /**
-     * Whether a task may have started. Of jobs of an owner before nobody can prove that one did not, since the
-     * starts of repeatable tasks are not written.
+     * Whether a task may have started. Always true for a job of a previous owner: starts of repeatable tasks are not
+     * written, so nothing proves that the task did not start.
      */
     mayHaveStarted(run: JobRun, index: number): boolean {
         return run.isRecovered || run.started.has(index) || run.record.retries.has(index);
@@ -349,7 +358,7 @@
     return run.record.codes[index] === TaskCode.marked;
 }
 
-/** Answers and updates that need it: whether a state of an update is final. */
+/** Whether an update reports a final state of its attempt. */
 export function isFinalState(update: TaskUpdate): boolean {
-    return !PASSING_STATES.includes(update.state);
+    return !NON_FINAL_STATES.includes(update.state);
 }
--- a/src/process/home/run/updates.ts
+++ b/src/process/home/run/updates.ts
@@ -1,13 +1,13 @@
-/** What each kind of update from a placer means to the home, as a table of handlers. */
+/** Handles updates about attempts from placers, with one handler for each state. */
 import type { Millis } from "../../../common/clock.js";
 import type { TaskUpdate, TaskUpdateState } from "../../../connection/messages.js";
 import type { JobRun, LiveAttempt } from "./job-run.js";
 import { AttemptPhase } from "./job-run.js";
-import { computeRetryPause } from "./retry-pause.js";
+import { computeRetryBackoff } from "./retry-backoff.js";
 import { isFinalState } from "./task-engine.js";
 import type { TaskEngine } from "./task-engine.js";
 
-/** Longest answer of a task that is kept, in characters; what is over is cut, and the media type says so. */
+/** Longest answer of a task that is stored, in characters; a longer one is truncated, as its content type says. */
 export const MAX_ANSWER_CHARACTERS = 65_536;
 const ANSWER_TYPE = "text/plain; charset=utf-8";
 const DEFAULT_REFUSED_PAUSE_MS: Millis = 1_000;
@@ -51,7 +51,7 @@
     moved: (engine, live, update, from) => {
         engine.outbox.addAcknowledgement(from, live.attempt);
         if ((update.sliceEpoch ?? 0) >= live.sliceEpoch) {
-            // Taken as an order that nobody has confirmed: repeating it has no effect, and then a census asks.
+            // Treated as an order without a report: sending it again has no effect, and then a census is requested.
             engine.movePlacer(live, from);
             engine.setPhase(live, AttemptPhase.sent);
         }
@@ -59,11 +59,11 @@
     done: (engine, live, update, from) => {
         engine.movePlacer(live, from);
         const text = update.answer ?? "";
-        const isCut = text.length > MAX_ANSWER_CHARACTERS;
+        const isTruncated = text.length > MAX_ANSWER_CHARACTERS;
         engine.endTask(live, {
             kind: "done",
             answer: new TextEncoder().encode(text.slice(0, MAX_ANSWER_CHARACTERS)),
-            contentType: isCut ? `${ANSWER_TYPE}; cut-from=${text.length}` : ANSWER_TYPE,
+            contentType: isTruncated ? `${ANSWER_TYPE}; cut-from=${text.length}` : ANSWER_TYPE,
             workerId: live.workerId ?? "",
         });
     },
@@ -73,7 +73,7 @@
         const failures = (record.retries.get(live.index)?.failures ?? 0) + 1;
         const { maxAttempts } = engine.core.getBranch(record.spec.branch);
         if (record.spec.repeatable && !record.cancelled && failures < maxAttempts) {
-            engine.retryTask(live, failures, undefined, computeRetryPause(failures));
+            engine.retryTask(live, failures, undefined, computeRetryBackoff(failures));
             return;
         }
         const message = update.message ?? update.answer ?? "the worker gave no reason";
@@ -91,9 +91,9 @@
             engine.endTask(live, { kind: "failed", message, workerId: live.workerId ?? "" });
         }
         else if (record.spec.repeatable || update.checkpoint !== undefined) {
-            const before = record.retries.get(live.index);
-            const checkpoint = update.checkpoint ?? before?.checkpoint;
-            engine.retryTask(live, before?.failures ?? 0, checkpoint, 0);
+            const previous = record.retries.get(live.index);
+            const checkpoint = update.checkpoint ?? previous?.checkpoint;
+            engine.retryTask(live, previous?.failures ?? 0, checkpoint, 0);
         }
         else {
             const message = "it was started and stopped before its end; what it did until then stands";
@@ -109,7 +109,7 @@
             return;
         }
         const pauseMs = update.retryAfterMs ?? DEFAULT_REFUSED_PAUSE_MS;
-        engine.choice.pausePlacer(from, record.spec.branch, pauseMs);
+        engine.selector.pausePlacer(from, record.spec.branch, pauseMs);
         engine.outbox.addAcknowledgement(from, live.attempt);
         engine.returnTask(live, 0, update.reason ?? update.message ?? `placer ${from} refused it`);
     },
@@ -127,13 +127,13 @@
 /**
  * Handles one update.
  *
- * @remarks Updates come late, doubled and out of order. Only one about the current attempt has an effect; an end
- * of any other is acknowledged, and any other that runs or waits is stopped.
+ * @remarks Updates may be late, duplicated or out of order. Only an update about the current attempt has an effect.
+ * The end of any other attempt is acknowledged, and any other attempt that runs or waits is withdrawn.
  */
 export function receiveUpdate(engine: TaskEngine, from: string, update: TaskUpdate): void {
     const run = engine.runs.get(update.jobId);
-    if (run?.found !== undefined && run.record.isTaskOpen(update.index)) {
-        collectFound(run, from, update, engine.core.context.clock.now());
+    if (run?.recoveredUpdates !== undefined && run.record.isTaskOpen(update.index)) {
+        collectRecovered(run, from, update, engine.core.context.clock.now());
         return;
     }
     const live = engine.findAttempt(update.attempt);
@@ -141,7 +141,7 @@
         replyToStale(engine, from, update);
         return;
     }
-    live.heardAt = engine.core.context.clock.now();
+    live.lastUpdateAt = engine.core.context.clock.now();
     if (live.phase !== AttemptPhase.ending) {
         applyUpdate(engine, live, update, from);
     }
@@ -150,7 +150,7 @@
 /** Handles an update about the current attempt of a task. */
 export function applyUpdate(engine: TaskEngine, live: LiveAttempt, update: TaskUpdate, from: string): void {
     if (isFinalState(update) && !engine.core.log.hasCapacity()) {
-        // The store is away for long: the placer repeats the end, so it need not be kept here meanwhile.
+        // The log's queue is full after a long store outage; the placer repeats the end until it is acknowledged.
         return;
     }
     if (isFinalState(update)) {
@@ -159,7 +159,7 @@
     updateHandlers[update.state](engine, live, update, from);
 }
 
-/** Waiting time: from acceptance to the first start of each task. */
+/** Measures the time from a job's acceptance to the first start of each of its tasks. */
 function observeWait(engine: TaskEngine, live: LiveAttempt): void {
     const { record } = live.run;
     if (!engine.mayHaveStarted(live.run, live.index)) {
@@ -168,6 +168,7 @@
     }
 }
 
+/** Replies to an update about an attempt that is not current: acknowledges its end, or withdraws it. */
 function replyToStale(engine: TaskEngine, from: string, update: TaskUpdate): void {
     if (isFinalState(update) || update.state === "moved") {
         engine.outbox.addAcknowledgement(from, update.attempt);
@@ -177,33 +178,35 @@
     }
 }
 
-/** Keeps the newest word on each task of an owner before; see {@link isNewer}. */
-function collectFound(run: JobRun, from: string, update: TaskUpdate, heardAt: Millis): void {
-    const before = run.found?.get(update.index);
-    if (before === undefined || isNewer(update, before.update)) {
-        run.found?.set(update.index, { from, update, heardAt });
+/** Keeps the newest update on each task of a previous owner; see {@link isNewer}. */
+function collectRecovered(run: JobRun, from: string, update: TaskUpdate, receivedAt: Millis): void {
+    const previous = run.recoveredUpdates?.get(update.index);
+    if (previous === undefined || isNewer(update, previous.update)) {
+        run.recoveredUpdates?.set(update.index, { from, update, receivedAt });
     }
 }
 
 /**
- * Guards against an old attempt's end that is told again while a newer attempt runs: acting on it would start the
- * task twice. An owner begins an attempt only when the one before is over, so the highest attempt counts.
+ * Whether an update supersedes a previous one about the same task.
+ *
+ * @remarks The end of an old attempt may be reported again while a newer attempt runs; acting on it would start the
+ * task twice. An owner begins an attempt only when the previous one is over, so the highest attempt counts.
  */
-function isNewer(update: TaskUpdate, before: TaskUpdate): boolean {
-    const order = compareAttempts(update.attempt, before.attempt);
+function isNewer(update: TaskUpdate, previous: TaskUpdate): boolean {
+    const order = compareAttempts(update.attempt, previous.attempt);
     if (order !== 0) {
         return order > 0;
     }
-    if (isFinalState(before)) {
+    if (isFinalState(previous)) {
         return false;
     }
-    return isFinalState(update) || before.state === "queued" ||
-        (update.sliceEpoch ?? 0) > (before.sliceEpoch ?? 0);
+    return isFinalState(update) || previous.state === "queued" ||
+        (update.sliceEpoch ?? 0) > (previous.sliceEpoch ?? 0);
 }
 
-/** Compares attempts of one task by the owner's epoch and the try, the last two fields of the id. */
+/** Compares attempts at one task by the owner's epoch and the attempt number, the last two fields of the id. */
 export function compareAttempts(left: string, right: string): number {
-    const [leftTry = 0, leftEpoch = 0] = left.split(".").reverse().map(Number);
-    const [rightTry = 0, rightEpoch = 0] = right.split(".").reverse().map(Number);
-    return leftEpoch - rightEpoch || leftTry - rightTry;
+    const [leftNumber = 0, leftEpoch = 0] = left.split(".").reverse().map(Number);
+    const [rightNumber = 0, rightEpoch = 0] = right.split(".").reverse().map(Number);
+    return leftEpoch - rightEpoch || leftNumber - rightNumber;
 }
--- a/src/process/home/run/views.ts
+++ b/src/process/home/run/views.ts
@@ -1,4 +1,4 @@
-/** Jobs as their callers see them. */
+/** Builds the views of jobs that callers get. */
 import type { HomeReply } from "../../../connection/messages.js";
 import type { JobState, JobView, TaskView } from "../../../request/work.js";
 import { MAX_TASKS_SHOWN } from "../../../request/work.js";
@@ -7,9 +7,8 @@
 import type { JobRun } from "./job-run.js";
 
 /**
- * Builds the view of a job.
- * @param record - The durable part.
- * @param run - What is under way; undefined for an ended job.
+ * Builds the view of a job, with at most {@link MAX_TASKS_SHOWN} tasks.
+ * @param run - The volatile state; undefined for an ended job.
  */
 export function buildJobView(record: JobRecord, run: JobRun | undefined): JobView {
     const running = run?.running ?? 0;
@@ -36,7 +35,7 @@
     };
 }
 
-/** Answer that shows a job. */
+/** Builds the reply that shows a job; `created` says whether this request created it. */
 export function buildJobReply(record: JobRecord, run: JobRun | undefined, created: boolean): HomeReply {
     return { kind: "job", job: buildJobView(record, run), created };
 }
@@ -61,7 +60,7 @@
         return { index, state: "ended", outcome: { kind: "cancelled", started }, attempts: 0 };
     }
     const live = run?.live.get(index);
-    const attempts = run?.countTries(index) ?? 0;
+    const attempts = run?.countAttempts(index) ?? 0;
     if (live?.phase === "running" || live?.phase === "ending") {
         return { index, state: "running", workerId: live.workerId, attempts };
     }
--- a/src/test/process/home/store-for-home.ts
+++ b/src/test/process/home/fault-injecting-store.ts
@@ -1,53 +1,53 @@
-/** A store client for tests of the home: the model of the store, with one planned fault for each write. */
+/** A store client for tests of the home: a model of the store, with a fault that a test may plan for each write. */
 import type { Millis } from "../../../common/clock.js";
 import type { StoreAnswer, StoreListing, StoreRecord } from "../../../process/ports/index.js";
 import type { ReadResult, StoreClient, StoreWrite, WriteResult } from "../../../process/store-client.js";
 import type { StoreModel } from "../../../stand-ins/store-model.js";
 import type { PausableClock } from "../../fakes/pausable-clock.js";
 
-/** What happens to one write. */
+/** What happens to a write. */
 export type WriteFault =
     | "none"
-    /** It takes effect, and its answer is lost for good. */
+    /** It takes effect, and the writer is told that its result is unknown. */
     | "doneButUnknown"
-    /** It has no effect, and nobody can tell. */
+    /** It has no effect, and the writer is told that its result is unknown. */
     | "lostButUnknown"
-    /** It takes effect, and the writer never hears of anything again. */
+    /** It takes effect, and the writer never gets an answer. */
     | "doneThenSilent"
     | "unavailable";
 
-/** The store as one entry reaches it; answers come through the entry's clock, so a pause holds them back. */
-export class StoreForHome implements StoreClient {
-    isAway = false;
+/** The store client of one entry; answers come through its clock, so a suspension of the entry delays them. */
+export class FaultInjectingStore implements StoreClient {
+    isUnavailable = false;
     latencyMs: Millis = 1;
     writes = 0;
     private readonly faults: WriteFault[] = [];
 
     constructor(private readonly model: StoreModel, private readonly clock: PausableClock) {}
 
-    /** Makes the next writes meet these faults, one each. */
+    /** Plans the faults of the next writes, one each. */
     plan(...faults: readonly WriteFault[]): void {
         this.faults.push(...faults);
     }
 
     read(key: string): Promise<ReadResult<StoreRecord | undefined>> {
-        return this.reply(() => this.isAway ? away : convertRead(this.model.read(key)));
+        return this.reply(() => this.isUnavailable ? unavailable : convertRead(this.model.read(key)));
     }
 
     list(prefix: string): Promise<ReadResult<StoreListing>> {
-        return this.reply(() => this.isAway ? away : convertRead(this.model.list(prefix)));
+        return this.reply(() => this.isUnavailable ? unavailable : convertRead(this.model.list(prefix)));
     }
 
     write(write: StoreWrite): Promise<WriteResult> {
-        const fault = this.isAway ? "unavailable" : this.faults.shift();
+        const fault = this.isUnavailable ? "unavailable" : this.faults.shift();
         if (fault === "unavailable") {
-            return this.reply(() => away);
+            return this.reply(() => unavailable);
         }
         this.writes++;
         if (fault === "lostButUnknown") {
             return this.reply(() => ({ kind: "unknown", message: "the request was lost" }));
         }
-        const result = convert(this.model.swap(write));
+        const result = convertWrite(this.model.swap(write));
         if (fault === "doneThenSilent") {
             return new Promise(() => undefined);
         }
@@ -58,19 +58,19 @@
     }
 
     watch(): never {
-        throw new Error("the home watches nothing");
+        throw new Error("unexpected call: the home role does not watch keys");
     }
 
     grantLease(): never {
-        throw new Error("the home holds no lease");
+        throw new Error("unexpected call: the home role uses no leases");
     }
 
     renewLease(): never {
-        throw new Error("the home holds no lease");
+        throw new Error("unexpected call: the home role uses no leases");
     }
 
     revokeLease(): never {
-        throw new Error("the home holds no lease");
+        throw new Error("unexpected call: the home role uses no leases");
     }
 
     getLastWatchContact(): undefined {
@@ -100,13 +100,13 @@
     }
 }
 
-const away = { kind: "unavailable", message: "the store is down" } as const;
+const unavailable = { kind: "unavailable", message: "the store is down" } as const;
 
 function convertRead<Value>(answer: StoreAnswer<Value>): ReadResult<Value> {
-    return answer.kind === "done" ? answer : away;
+    return answer.kind === "done" ? answer : unavailable;
 }
 
-function convert(answer: StoreAnswer<number>): WriteResult {
+function convertWrite(answer: StoreAnswer<number>): WriteResult {
     switch (answer.kind) {
         case "done":
             return { kind: "done", revision: answer.value };
@@ -115,6 +115,6 @@
                 { kind: "tooLarge" } :
                 { kind: "refused", current: answer.current };
         default:
-            return away;
+            return unavailable;
     }
 }
--- a/src/test/process/home/home-cancel_test.ts
+++ b/src/test/process/home/home-cancel_test.ts
@@ -1,4 +1,4 @@
-/** Cancellation at each point of a task's life, and waves of it. */
+/** Cancellation in each phase of a task, and of jobs with many tasks. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { HomeCell, makeSubmit, requireJob, SLICE } from "./home-cell.js";
@@ -15,8 +15,8 @@
 const show = { kind: "showJob", jobId: "j", team: undefined } as const;
 
 describe("cancellation", () => {
-    // A council withdraws its programme. The answer says of each task whether it had started: "not started" is a
-    // promise, and is given only for tasks that no worker can have begun.
+    // The outcome of a cancelled task says whether it had started. "Not started" must be reported only for tasks
+    // that no worker can have begun.
     it("before the start: the tasks end as not started", async () => {
         const { cell, entry } = await makeCell();
         cell.getPlacer().isReady = false;
@@ -27,7 +27,7 @@
         assert.deepEqual(requireJob(await cell.query(entry, cancel)).counts, job.counts);
     });
 
-    it("while it waits at a placer: it is withdrawn, and ends as not started", async () => {
+    it("while queued at a placer: the task is withdrawn and ends as not started", async () => {
         const { cell, entry } = await makeCell();
         await cell.query(entry, makeSubmit("j"));
         await cell.clock.step(100);
@@ -37,7 +37,7 @@
         assert.deepEqual(job.tasks[0]?.outcome, { kind: "cancelled", started: false });
     });
 
-    it("while it runs: it is stopped, and ends as started", async () => {
+    it("while running: the task is stopped and ends as started", async () => {
         const { cell, entry } = await makeCell();
         cell.handleOrder = (placer, order) => placer.startTask(order);
         await cell.query(entry, makeSubmit("j"));
@@ -48,8 +48,8 @@
         assert.deepEqual(job.tasks[0]?.outcome, { kind: "cancelled", started: true });
     });
 
-    // The task was done before the stop reached it. Its result stands: it did run.
-    it("after the end: the result stands", async () => {
+    // A task that was done before the stop reached it did run, so its result must be kept.
+    it("after the end: the result is kept", async () => {
         const { cell, entry } = await makeCell();
         cell.handleOrder = (placer, order) => {
             placer.startTask(order);
@@ -61,8 +61,8 @@
         assert.equal(requireJob(await cell.query(entry, show)).counts.done, 1);
     });
 
-    // The start marker is being written when the cancellation comes: neither may overtake the other so that a
-    // cancelled task is allowed to start.
+    // The cancellation arrives while the start marker is being written. Whichever becomes durable first, the
+    // cancelled task must not be allowed to start.
     it("while a start marker is being written: the start is not confirmed", async () => {
         const { cell, entry } = await makeCell();
         entry.store.latencyMs = 100;
@@ -75,9 +75,9 @@
         assert.deepEqual(cell.getPlacer().confirmed, []);
     });
 
-    // The store is slow and the cancellation is being written; meanwhile places become free. Tasks offered now would
-    // be started only to be stopped.
-    it("while it is being written: nothing more is offered", async () => {
+    // The store is slow, and placers get free capacity while the cancellation is being written. Tasks offered in
+    // that time would start only to be stopped.
+    it("while the cancellation is being written: no more tasks are offered", async () => {
         const { cell, entry } = await makeCell();
         const placer = cell.getPlacer();
         await cell.query(entry, makeSubmit("j", { tasks: 200 }));
@@ -95,18 +95,18 @@
         assert.deepEqual([placer.orders.length, job.counts.cancelled], [offered, 200]);
     });
 
-    it("with the store down: changes nothing and says so at once", async () => {
+    it("with the store unavailable: changes nothing and is refused at once", async () => {
         const { cell, entry } = await makeCell();
         await cell.query(entry, makeSubmit("j"));
-        entry.store.isAway = true;
+        entry.store.isUnavailable = true;
         const reply = await cell.query(entry, cancel);
         assert.equal(reply.kind, "refused");
         const job = requireJob(await cell.query(entry, show));
         assert.equal(job.counts.cancelled, 0);
     });
 
-    // The cancellation is written, and the home dies before it can withdraw what runs. The new home stops it.
-    it("followed by a take-over: the new home stops what runs", async () => {
+    // The home dies after the cancellation is written and before it can withdraw the running task.
+    it("followed by a takeover: the new home stops the running task", async () => {
         const { cell, entry } = await makeCell();
         const second = cell.addEntry("h2");
         cell.handleOrder = (placer, order) => placer.startTask(order);
@@ -123,9 +123,9 @@
         assert.equal(cell.getPlacer().withdrawn.length > 0, true);
     });
 
-    // The owner of many waiting and running tasks dies, and its client cancels while the new owner does not know yet
-    // what runs. Nothing may start, what runs is stopped, and no task is called "not started" without proof.
-    it("of 5,000 tasks during a take-over", async () => {
+    // The owner of many waiting and running tasks dies, and the job is cancelled before the new owner knows which
+    // tasks run. None may start, running ones are stopped, and none is reported "not started" without proof.
+    it("of 5,000 tasks during a takeover: starts nothing and stops what runs", async () => {
         const { cell, entry } = await makeCell();
         const placer = cell.getPlacer();
         const second = cell.addEntry("h2");
@@ -147,9 +147,9 @@
         assert.ok(job.tasks.every(task => task.outcome?.kind === "cancelled" && task.outcome.started));
     });
 
-    // A client drops a tender: 50,000 tasks are cancelled at once, while another team's short run comes in. The
-    // wave must not hold the short run up.
-    it("of 50,000 tasks does not hold up a short run of another team", async () => {
+    // Another team submits a short job while 50,000 tasks are being cancelled. Withdrawals sent all at once would
+    // delay its start.
+    it("of 50,000 tasks does not delay a short job of another team", async () => {
         const { cell, entry } = await makeCell();
         const started = new Map<string, number>();
         cell.handleOrder = (placer, order) => {
--- a/src/test/process/home/home-cell.ts
+++ b/src/test/process/home/home-cell.ts
@@ -1,4 +1,4 @@
-/** A cell of home roles over one store, with scripted placers: no worker, no ownership role, one fake clock. */
+/** A test fixture of home roles over one store model and a fake clock, with scripted placers and without workers. */
 import type { Clock } from "../../../common/clock.js";
 import { createRandom } from "../../../common/random.js";
 import type {
@@ -20,8 +20,8 @@
 import { createFakeLog, createFakeMetrics } from "../../fakes/fake-telemetry.js";
 import type { FakeLog } from "../../fakes/fake-telemetry.js";
 import { PausableClock } from "../../fakes/pausable-clock.js";
+import { FaultInjectingStore } from "./fault-injecting-store.js";
 import { ScriptedPlacer } from "./scripted-placer.js";
-import { StoreForHome } from "./store-for-home.js";
 
 export const SLICE = 3;
 const LATENCY_MS = 1;
@@ -31,12 +31,12 @@
     readonly memberId: string;
     readonly home: HomeRole;
     readonly clock: PausableClock;
-    readonly store: StoreForHome;
+    readonly store: FaultInjectingStore;
     readonly log: FakeLog;
     mayAct: boolean;
 }
 
-/** The whole of a test. */
+/** Home roles, scripted placers, a store model and an ownership table that the test sets. */
 export class HomeCell {
     readonly clock = new FakeClock();
     readonly model = new StoreModel(this.clock);
@@ -44,11 +44,11 @@
     readonly entries = new Map<string, HomeEntry>();
     workerOwner: (slice: number) => SliceOwner | undefined = () => undefined;
     homeOwner: SliceOwner | undefined;
-    /** Settings in force; the defaults unless a test sets them. */
+    /** Settings in force; undefined for the defaults. */
     settings: SettingsVersion | undefined;
-    /** What a placer does with a new order; nothing unless a test says so. */
+    /** Called with each new order of a placer; does nothing by default. */
     handleOrder: (placer: ScriptedPlacer, order: PlaceOrder) => void = () => undefined;
-    private readonly listeners: (() => void)[] = [];
+    private readonly ownershipListeners: (() => void)[] = [];
 
     constructor(placers: readonly string[] = ["p1"]) {
         for (const memberId of placers) {
@@ -60,15 +60,15 @@
     getPlacer(memberId = "p1"): ScriptedPlacer {
         const placer = this.placers.get(memberId);
         if (placer === undefined) {
-            throw new Error(`no placer ${memberId}`);
+            throw new Error(`the fixture has no placer ${memberId}`);
         }
         return placer;
     }
 
-    /** Creates an entry; `own` makes it the owner of the slice with the next epoch. */
+    /** Creates an entry that does not own the slice yet; see {@link openSliceAt}. */
     addEntry(memberId: string, options: Partial<HomeOptions> = {}): HomeEntry {
         const clock = new PausableClock(this.clock);
-        const store = new StoreForHome(this.model, clock);
+        const store = new FaultInjectingStore(this.model, clock);
         const log = createFakeLog();
         const entry: HomeEntry = {
             memberId,
@@ -96,7 +96,7 @@
                     getHomeSliceOwner: slice => slice === SLICE ? this.homeOwner : undefined,
                     mayAct: () => entry.mayAct,
                     getLeaseOnlyDeadline: () => Infinity,
-                    subscribe: listener => this.listeners.push(listener),
+                    subscribe: listener => this.ownershipListeners.push(listener),
                 },
             }, options),
         };
@@ -104,7 +104,7 @@
         return entry;
     }
 
-    /** Gives the slice to an entry with the next epoch and waits until it serves. */
+    /** Makes an entry the owner of the slice with the next epoch, and gives it time to recover the slice. */
     async openSliceAt(entry: HomeEntry): Promise<void> {
         const epoch = (this.homeOwner?.epoch ?? 0) + 1;
         this.homeOwner = { memberId: entry.memberId, epoch };
@@ -112,13 +112,14 @@
         await this.clock.step(50);
     }
 
-    /** Asks the home and waits for its answer, moving time at most `limit` milliseconds. */
-    query(entry: HomeEntry, request: HomeRequest, limit = 30_000): Promise<HomeReply> {
-        return this.clock.wait(entry.home.handleRequest(SLICE, request), limit);
+    /** Sends a request to the home and waits for its reply, advancing the clock at most `limitMs`. */
+    query(entry: HomeEntry, request: HomeRequest, limitMs = 30_000): Promise<HomeReply> {
+        return this.clock.wait(entry.home.handleRequest(SLICE, request), limitMs);
     }
 
-    notifyTable(): void {
-        this.listeners.forEach(listener => listener());
+    /** Notifies the entries that the ownership table has changed. */
+    notifyOwnershipChange(): void {
+        this.ownershipListeners.forEach(listener => listener());
     }
 
     listSlicesOf(memberId: string) {
@@ -132,7 +133,7 @@
         return slices;
     }
 
-    /** Sends updates to the owner of the slice, as the table names it. */
+    /** Sends updates to the owner of the slice according to the ownership table. */
     sendUpdates(from: string, updates: readonly TaskUpdate[]): void {
         this.clock.schedule(LATENCY_MS, () => {
             const entry = this.entries.get(this.homeOwner?.memberId ?? "");
@@ -156,7 +157,7 @@
         return {
             call: (to: string, body: CallBody, timeoutMs: number) => this.call(to, body, timeoutMs, clock),
             note: (to: string, body: NoteBody) => {
-                this.clock.schedule(LATENCY_MS, () => this.placers.get(to)?.receiveNote(body));
+                this.clock.schedule(LATENCY_MS, () => this.placers.get(to)?.receiveNotification(body));
                 return this.placers.has(to);
             },
             getDigest: (of: string) => this.makeDigest(of),
@@ -164,8 +165,8 @@
         };
     }
 
-    private makeDigest(of: string): HeardDigest | undefined {
-        const placer = this.placers.get(of);
+    private makeDigest(memberId: string): HeardDigest | undefined {
+        const placer = this.placers.get(memberId);
         if (placer === undefined) {
             return undefined;
         }
@@ -181,7 +182,7 @@
                 draining: false,
                 suspects: [],
                 echoes: {},
-                slices: this.listSlicesOf(of).map(slice => ({ ...slice, ready: placer.isReady })),
+                slices: this.listSlicesOf(memberId).map(slice => ({ ...slice, ready: placer.isReady })),
                 load: placer.makeLoad(),
             },
         };
@@ -220,7 +221,7 @@
     };
 }
 
-/** Settings whose one branch differs from the defaults. */
+/** Settings with one branch, which differs from the defaults by `change`. */
 export function makeSettings(change: Partial<BranchSettings>): SettingsVersion {
     const path = makeSpec().branch;
     const branch = { ...DEFAULT_BRANCH, path, kind: "batch" as const, policy: "batch", ...change };
@@ -249,7 +250,7 @@
     };
 }
 
-/** The job of a reply; fails the test if it is another kind of reply. */
+/** Returns the job of a reply; throws for any other kind of reply. */
 export function requireJob(reply: HomeReply) {
     if (reply.kind !== "job") {
         throw new Error(`expected a job, got ${JSON.stringify(reply)}`);
--- a/src/test/process/home/home-gangs_test.ts
+++ b/src/test/process/home/home-gangs_test.ts
@@ -1,10 +1,10 @@
-/** Gangs at the home: all tasks start together, or none. */
+/** Gangs at the home: either all tasks start together, or none starts. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { FakeCell } from "../../fakes/fake-cell.js";
 import { HomeCell, makeSpec, makeSubmit, requireJob } from "./home-cell.js";
 
-/** Processors of a worker of the fake cell. */
+/** CPU capacity of a worker of the fake cell. */
 const WORKER_CPU_MILLIS = 4_000;
 const show = { kind: "showJob", jobId: "g", team: undefined } as const;
 
@@ -17,9 +17,9 @@
 }
 
 describe("the start of a gang", () => {
-    it("commits at all placers once every task is held", async () => {
+    it("commits at all placers once capacity is held for every task", async () => {
         const { cell, entry, left, right } = await makeCell();
-        left.room = 3;
+        left.capacity = 3;
         cell.handleOrder = (placer, order) => placer.startTask(order);
         await cell.query(entry, makeSubmit("g", { kind: "gang", tasks: 5 }));
         await cell.clock.step(500);
@@ -27,29 +27,29 @@
         assert.equal(requireJob(await cell.query(entry, show)).counts.running, 5);
     });
 
-    // A reach study needs more than there is room for. Starting what fits would hold workers for nothing and may
-    // never complete: nothing starts, what was held is given back, and the answer says why.
-    it("starts nothing while one task has no place, and gives back what it held", async () => {
+    // The gang needs more capacity than there is. Starting the tasks that fit would occupy workers to no purpose, and
+    // the gang might never complete. The job's view must say why it waits.
+    it("starts nothing while one task does not fit, and releases its holds", async () => {
         const { cell, entry, left, right } = await makeCell();
-        left.room = 3;
-        right.room = 1;
+        left.capacity = 3;
+        right.capacity = 1;
         await cell.query(entry, makeSubmit("g", { kind: "gang", tasks: 5 }));
         await cell.clock.step(400);
         assert.deepEqual([left.orders, right.orders], [[], []]);
         assert.deepEqual([left.withdrawn.length, right.withdrawn.length], [3, 1]);
         const waiting = requireJob(await cell.query(entry, show)).tasks[0]?.waitsFor;
         assert.match(waiting ?? "", /5 tasks must start together; there is room for 4/);
-        right.room = 2;
+        right.capacity = 2;
         cell.handleOrder = (placer, order) => placer.startTask(order);
         await cell.clock.step(20_000);
         assert.equal(requireJob(await cell.query(entry, show)).counts.running, 5);
     });
 
-    // One placer's hold has ended before its commit came, so its tasks do not start. The others run already and
-    // would wait for them for ever: they are stopped, and the gang starts again whole.
-    it("stops the others when a task does not start, and starts again together", async () => {
+    // One placer's hold expired before its commit arrived, so its tasks do not start. The others run already and
+    // would wait for them forever.
+    it("stops the others when a task does not start, and starts all again together", async () => {
         const { cell, entry, left, right } = await makeCell();
-        left.room = 3;
+        left.capacity = 3;
         let refusals = 1;
         cell.handleOrder = (placer, order) => {
             if (placer === right && refusals > 0) {
@@ -67,11 +67,11 @@
         assert.deepEqual([job.counts.running, job.counts.waiting], [5, 0]);
     });
 
-    // As above for paid runs that must not run twice: what had started is told as "may have run", and is not
-    // started a second time.
-    it("ends what had started of a gang that is not repeatable", async () => {
+    // As above, but the tasks must not run twice: those that had started end as "may have run" and are not started
+    // again.
+    it("ends the started tasks of a gang that is not repeatable", async () => {
         const { cell, entry, left, right } = await makeCell();
-        left.room = 3;
+        left.capacity = 3;
         cell.handleOrder = (placer, order) =>
             placer === right ?
                 placer.report(order, { state: "lost", workerId: "w9" }) :
@@ -83,18 +83,18 @@
         assert.deepEqual([left.started.length, right.orders.length], [3, 2]);
     });
 
-    // The home dies with a part of the gang started. The new one finds some tasks running and some unknown: it
-    // stops what runs and starts all together.
-    it("that was cut by a death of its home begins again together", async () => {
+    // The home dies when only a part of the gang has started. The new home finds some tasks running and some
+    // unknown; it must stop the running ones and start all together.
+    it("is repeated for all tasks after the home died in the middle of it", async () => {
         const { cell, entry, left, right } = await makeCell();
         const second = cell.addEntry("h2");
-        left.room = 3;
-        right.dropsNotes = true;
+        left.capacity = 3;
+        right.dropsNotifications = true;
         cell.handleOrder = (placer, order) => placer.startTask(order);
         await cell.query(entry, makeSubmit("g", { kind: "gang", tasks: 5 }));
         await cell.clock.step(100);
         entry.clock.kill();
-        right.dropsNotes = false;
+        right.dropsNotifications = false;
         await cell.openSliceAt(second);
         await cell.clock.step(20_000);
         const job = requireJob(await cell.query(second, show));
@@ -103,9 +103,9 @@
     });
 });
 
-describe("gangs that compete", () => {
-    // Three studies of different teams each need most of the cell and reserve at the same moment. If each kept a
-    // part, none could ever start. All must end, and no worker may be given more than it has meanwhile.
+describe("competing gangs", () => {
+    // Three gangs of different teams each need most of the cell and reserve at the same time. If each kept the part
+    // that it holds, none could ever start. Meanwhile no worker may be given more than it has.
     it("all end", async () => {
         const cell = new FakeCell({ entries: 3, workers: 8 });
         await cell.start();
@@ -124,7 +124,7 @@
             await gateway.callHome(jobId, { kind: "submitJob", jobId, caller, spec }, 10_000);
             const wait = { kind: "waitJob", jobId, team: undefined, waitMs: 10_000 } as const;
             for (;;) {
-                // A wait ends early when the job's home slice moves.
+                // A wait returns early when the job's home slice moves.
                 const reply = await gateway.callHome(jobId, wait, 20_000);
                 if (requireJob(reply).state === "ended") {
                     return reply;
--- a/src/test/process/home/home-jobs_test.ts
+++ b/src/test/process/home/home-jobs_test.ts
@@ -1,10 +1,10 @@
-/** Jobs at the home: from acceptance to their durable end. */
+/** The course of a job at the home, from acceptance to its durable end. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { HomeCell, makeSubmit, requireJob, SLICE } from "./home-cell.js";
 
 describe("jobs at the home", () => {
-    it("accepts a job durably, has it run, writes its end and acknowledges it", async () => {
+    it("are accepted, run, ended durably and acknowledged", async () => {
         const cell = new HomeCell();
         const entry = cell.addEntry("h1");
         await cell.openSliceAt(entry);
--- a/src/test/process/home/home-recovery_test.ts
+++ b/src/test/process/home/home-recovery_test.ts
@@ -1,4 +1,4 @@
-/** Jobs whose home dies, pauses or is taken over: no task runs twice, and none is lost. */
+/** Jobs whose home dies, is suspended or is taken over: no task runs twice, and none is lost. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { HomeReply, PlaceOrder } from "../../../connection/messages.js";
@@ -28,9 +28,9 @@
 }
 
 describe("the home of a job dies", () => {
-    // A paid run is handed in as not repeatable. The home dies with the start marker written and before the start is
-    // confirmed, or the confirmation is lost on its way. The placer that held room for it proves that it did not
-    // start: the new home starts it, once. Where that placer is gone too, nobody can tell, and it is never started.
+    // The home dies after the start marker of a task that is not repeatable was written and before the start was
+    // confirmed, or the confirmation is lost. If the placer knows that it did not start, the new home must start it
+    // once. If the placer has forgotten it, it may have run and must not be started.
     for (const dropsConfirmations of [false, true]) {
         for (const knows of [true, false]) {
             const lost = dropsConfirmations ? "the confirmation lost" : "no confirmation sent";
@@ -44,7 +44,7 @@
                 assert.deepEqual(listAttempts(placer.orders), ["j.0.1.1"]);
                 placer.dropsConfirmations = false;
                 if (!knows) {
-                    placer.known.clear();
+                    placer.knownAttempts.clear();
                 }
                 await killAndTakeOver(cell, first, second);
                 const job = await show(cell, second, "j");
@@ -54,9 +54,9 @@
         }
     }
 
-    // A placer says of a paid run's first attempt that it did not start, and its word is told again long after. The
-    // second attempt was confirmed, and its placer has lost it. The old word must not count for the second attempt.
-    it("with a marker, and word of an older attempt: it may have run", async () => {
+    // A placer reports again, much later, that the first attempt did not start. The second attempt was confirmed and
+    // its placer has forgotten it, so the old report must not be taken as proof about the second attempt.
+    it("with a marker, and a late report of an older attempt: the task may have run", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
         let tries = 0;
@@ -70,17 +70,22 @@
         await cell.clock.step(1_000);
         const attempts = listAttempts(placer.confirmed);
         assert.deepEqual(attempts, ["j.0.1.1", "j.0.1.2"]);
-        placer.known.clear();
-        placer.known.set("j.0.1.1", { attempt: "j.0.1.1", jobId: "j", index: 0, state: "notStarted" });
+        placer.knownAttempts.clear();
+        placer.knownAttempts.set("j.0.1.1", {
+            attempt: "j.0.1.1",
+            jobId: "j",
+            index: 0,
+            state: "notStarted",
+        });
         await killAndTakeOver(cell, first, second);
         const job = await show(cell, second, "j");
         assert.equal(job.counts.mayHaveRun, 1);
         assert.deepEqual(listAttempts(placer.confirmed), attempts);
     });
 
-    // The first attempt had a marker and did not start; the second waits for room when the home dies. That there is
-    // a second proves that the first never ran: the paid run starts at the new home, instead of being given up.
-    it("with a marker, and a newer attempt that waits: the new home starts it", async () => {
+    // The first attempt had a marker and did not start; the second waits for capacity when the home dies. A second
+    // attempt proves that the first never ran, so the task must not be given up.
+    it("with a marker, and a newer attempt that waits: the new home starts the task", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
         cell.handleOrder = (at, order) => {
@@ -98,20 +103,20 @@
         assert.deepEqual(listAttempts(placer.confirmed), ["j.0.1.1", "j.0.2.1"]);
     });
 
-    // As above, but the task may be run again, and nobody knows of it: it is started once by the new home.
-    it("before a repeatable task started: the new home starts it", async () => {
+    // As above, but the task is repeatable and its order was lost, so that no placer knows it.
+    it("before a repeatable task started: the new home starts it once", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
-        placer.dropsNotes = true;
+        placer.dropsNotifications = true;
         await cell.query(first, makeSubmit("j"));
         await cell.clock.step(100);
-        placer.dropsNotes = false;
+        placer.dropsNotifications = false;
         await killAndTakeOver(cell, first, second);
         assert.deepEqual(listAttempts(placer.orders), ["j.0.2.1"]);
     });
 
-    // A task runs when its home dies. The new home hears of it by the census and waits for its end; a second start
-    // would be a doubled run.
+    // A task runs when its home dies. The new home must learn of it by the census and wait for its end, or the task
+    // would run twice.
     for (const repeatable of [true, false]) {
         it(`while a ${repeatable ? "" : "not "}repeatable task runs: it is adopted`, async () => {
             const { cell, first, second } = await makeCell();
@@ -131,14 +136,14 @@
         });
     }
 
-    // The end has reached the home, which dies before it is written. The placer has no acknowledgement and tells
-    // the new home again: the result is not lost, and the task is not run for it a second time.
-    it("between an end and its commit", async () => {
+    // The home dies after it received an end and before it was written. The placer has no acknowledgement and reports
+    // the end to the new home, so the result must not be lost and the task not run again.
+    it("between the end of a task and its commit: the end is reported again", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
         cell.handleOrder = (at, order) => {
             at.startTask(order);
-            first.store.isAway = true;
+            first.store.isUnavailable = true;
             at.report(order, { state: "done", answer: "42" });
         };
         await cell.query(first, makeSubmit("j"));
@@ -150,9 +155,9 @@
         assert.equal(placer.acknowledged.size, 1);
     });
 
-    // A failed attempt's end was never acknowledged and is told again by its placer, after a newer attempt began
-    // elsewhere. Acting on it at the new home would start the task a second time beside the newer attempt.
-    it("with an old attempt's end told again beside a running one", async () => {
+    // The end of a failed attempt was never acknowledged, and its placer reports it again after a newer attempt began
+    // elsewhere. If the new home acted on it, the task would run a second time beside the newer attempt.
+    it("with the end of an old attempt reported beside a running one: the running one is adopted", async () => {
         const { cell, first, second } = await makeCell(["p1", "p2"]);
         await cell.query(first, makeSubmit("j"));
         await cell.clock.step(100);
@@ -169,10 +174,9 @@
     });
 });
 
-describe("the home is paused past its lease and wakes", () => {
-    // The owner is frozen with the start markers of paid runs being written. The other takes over, hears from the
-    // placer that nothing was started, and starts them. The first wakes and would confirm its own start: a paid run
-    // would run twice.
+describe("the home is suspended past its lease and resumes", () => {
+    // The owner is suspended while it writes a start marker. Another takes over, learns from the placer that the task
+    // did not start, and starts it. If the first owner then confirmed its own start, the task would run twice.
     it("confirms no start after another has taken over", async () => {
         const { cell, first, second } = await makeCell();
         await cell.query(first, makeSubmit("j", { repeatable: false }));
@@ -189,15 +193,15 @@
         assert.deepEqual(listAttempts(cell.getPlacer().confirmed), ["j.0.2.1"]);
     });
 
-    // It still believes the old table and that it may act: its orders leave, and the placers refuse them, since
-    // the census of the new home came first.
-    it("is refused by placers even if it does not know yet", async () => {
+    // The previous owner has an outdated ownership table and still sends orders. The placers must refuse them, since
+    // they have answered the census of the new home.
+    it("has its orders refused by placers while it does not know of the takeover", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
-        placer.dropsNotes = true;
+        placer.dropsNotifications = true;
         await cell.query(first, makeSubmit("j"));
         await cell.clock.step(100);
-        placer.dropsNotes = false;
+        placer.dropsNotifications = false;
         const before = cell.homeOwner;
         await cell.openSliceAt(second);
         await cell.clock.step(1_000);
@@ -209,13 +213,13 @@
 });
 
 describe("the census", () => {
-    // One worker slice of the dead entry is not covered yet: its worker may still run the task. Until the new
-    // owner has heard from it, or its lease has surely ended, nothing of the old home is started again.
+    // A worker slice that is not covered may have a worker that still runs the task. Until its owner has answered, or
+    // the worker's lease has certainly ended, nothing of the previous home may be started again.
     it("waits until every worker slice is covered", async () => {
         const { cell, first, second } = await makeCell(["p1", "p2"]);
         await cell.query(first, makeSubmit("j"));
         await cell.clock.step(100);
-        cell.placers.forEach(placer => placer.known.clear());
+        cell.placers.forEach(placer => placer.knownAttempts.clear());
         cell.getPlacer("p2").isReady = false;
         await killAndTakeOver(cell, first, second);
         await cell.clock.step(10_000);
@@ -230,8 +234,8 @@
         assert.equal(countOrders(), 1);
     });
 
-    // The dead home's order waits at an entry that owns no workers at the moment, and may own some again. Its silence
-    // says nothing: if the task were started elsewhere now, it could start there later as well.
+    // An order of the dead home waits at an entry that owns no workers now and may own some later. Without its answer
+    // the task must not be started elsewhere, as it could later start there as well.
     it("waits for entries that own no workers", async () => {
         const { cell, first, second } = await makeCell(["p1", "p2"]);
         cell.getPlacer("p1").isReady = false;
@@ -250,8 +254,9 @@
         assert.deepEqual(listAttempts(cell.getPlacer("p1").orders), ["j.0.2.1"]);
     });
 
-    // A paid run only waits for room at a placer that dies. It was never allowed to start, so it is not given up.
-    it("after a placer is lost: a paid run that waited there starts elsewhere", async () => {
+    // A task that is not repeatable waits for capacity at a placer that dies. It was never allowed to start, so it
+    // must not be given up.
+    it("after a placer is lost: a task that waited there and is not repeatable starts elsewhere", async () => {
         const { cell, first } = await makeCell(["p1", "p2"]);
         cell.placers.forEach(placer => {
             placer.grants = false;
@@ -263,14 +268,14 @@
         cell.placers.delete(lost);
         cell.getPlacer(left).grants = true;
         cell.workerOwner = () => ({ memberId: left, epoch: 2 });
-        cell.notifyTable();
+        cell.notifyOwnershipChange();
         await cell.clock.step(3_000);
         assert.equal((await show(cell, first, "j")).counts.mayHaveRun, 0);
         assert.equal(cell.getPlacer(left).confirmed.length, 1);
     });
 
-    // A placer dies with a task that its home believes running. Its slices go to another, which does not find the
-    // task on any worker: it is started again, and the one that is not repeatable is never.
+    // A placer dies with a task that its home takes for running, and the new owner of its slices finds the task on no
+    // worker. It must be started again if it is repeatable, and never otherwise.
     for (const repeatable of [true, false]) {
         it(`after a placer is lost: a ${repeatable ? "" : "not "}repeatable task`, async () => {
             const { cell, first } = await makeCell(["p1", "p2"]);
@@ -283,7 +288,7 @@
             assert.equal(running?.state, "running");
             cell.placers.delete(lost);
             cell.workerOwner = () => ({ memberId: left, epoch: 2 });
-            cell.notifyTable();
+            cell.notifyOwnershipChange();
             await cell.clock.step(3_000);
             const { counts } = await show(cell, first, "j");
             assert.equal(cell.getPlacer(left).started.length, repeatable ? 1 : 0);
@@ -291,14 +296,14 @@
         });
     }
 
-    // An order was lost on its way and the placer knows nothing; or it came, and only the word of it was lost.
-    it("settles orders that nobody speaks of", async () => {
+    // An order was lost in transit, or it arrived and only the update about it was lost.
+    it("settles orders that no placer reports", async () => {
         const { cell, first } = await makeCell();
         const placer = cell.getPlacer();
-        placer.dropsNotes = true;
+        placer.dropsNotifications = true;
         await cell.query(first, makeSubmit("j"));
         await cell.clock.step(3_000);
-        placer.dropsNotes = false;
+        placer.dropsNotifications = false;
         await cell.clock.step(30_000);
         assert.deepEqual(listAttempts(placer.orders), ["j.0.1.1"]);
     });
--- a/src/test/process/home/home-requests_test.ts
+++ b/src/test/process/home/home-requests_test.ts
@@ -1,11 +1,11 @@
-/** Requests that must not run twice, while entries die and pause and the store loses answers. */
+/** Requests that must not run twice, while entries die or are suspended and the store loses answers. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { HomeReply } from "../../../connection/messages.js";
+import type { WriteFault } from "./fault-injecting-store.js";
 import { HomeCell, makeRequest, SLICE } from "./home-cell.js";
 import type { HomeEntry } from "./home-cell.js";
 import { makeServed } from "./scripted-placer.js";
-import type { WriteFault } from "./store-for-home.js";
 
 async function makeCell(): Promise<{ cell: HomeCell; first: HomeEntry; second: HomeEntry; }> {
     const cell = new HomeCell();
@@ -28,13 +28,13 @@
 }
 
 describe("an entry dies in the middle of a request that is not repeatable", () => {
-    // A volunteer's correction is sent once; the entry that owns its key dies at one of these points, and the
-    // volunteer's client asks again with the same key at the entry that took over. It must not run a second time.
+    // The owner of a request's key dies at one of these points, and the client repeats the request with the same key
+    // at the entry that took over. It must not run a second time.
     const cases: readonly {
         readonly name: string;
         readonly faults: readonly WriteFault[];
         readonly serves: boolean;
-        readonly storeAwayAtEnd: boolean;
+        readonly storeUnavailableAtEnd: boolean;
         readonly served: number;
         readonly expected: string;
     }[] = [
@@ -42,7 +42,7 @@
             name: "between start marker and dispatch",
             faults: ["doneThenSilent"],
             serves: true,
-            storeAwayAtEnd: false,
+            storeUnavailableAtEnd: false,
             served: 0,
             expected: "repeated mayHaveRun",
         },
@@ -50,7 +50,7 @@
             name: "between dispatch and answer",
             faults: [],
             serves: false,
-            storeAwayAtEnd: false,
+            storeUnavailableAtEnd: false,
             served: 1,
             expected: "repeated mayHaveRun",
         },
@@ -58,7 +58,7 @@
             name: "between answer and commit",
             faults: [],
             serves: true,
-            storeAwayAtEnd: true,
+            storeUnavailableAtEnd: true,
             served: 1,
             expected: "repeated mayHaveRun",
         },
@@ -66,17 +66,17 @@
             name: "after a commit whose answer was lost",
             faults: ["none", "doneThenSilent"],
             serves: true,
-            storeAwayAtEnd: false,
+            storeUnavailableAtEnd: false,
             served: 1,
             expected: "repeated done",
         },
     ];
-    for (const { name, faults, serves, storeAwayAtEnd, served, expected } of cases) {
+    for (const { name, faults, serves, storeUnavailableAtEnd, served, expected } of cases) {
         it(name, async () => {
             const { cell, first, second } = await makeCell();
             const placer = cell.getPlacer();
             placer.serve = () => {
-                first.store.isAway = storeAwayAtEnd;
+                first.store.isUnavailable = storeUnavailableAtEnd;
                 return serves ? Promise.resolve(makeServed()) : "never";
             };
             first.store.plan(...faults);
@@ -92,11 +92,11 @@
     }
 });
 
-describe("an entry is paused past its lease and wakes", () => {
-    // The owner is frozen with the write of a start marker under way. Another takes the slice and answers the
-    // repeat. The first wakes, finds its marker in the store, and would now dispatch: the request would run after
-    // the caller was told how it ended.
-    it("does not dispatch after the answer to its marker comes late", async () => {
+describe("an entry is suspended past its lease and resumes", () => {
+    // The owner is suspended while a start marker is being written; another takes over the slice and replies to the
+    // repeat. If the first dispatched on finding its marker in the store, the request would run after its outcome was
+    // reported.
+    it("does not dispatch when the store's answer for its marker arrives late", async () => {
         const { cell, first, second } = await makeCell();
         const reply = first.home.handleRequest(SLICE, makeRequest("k", { deadlineMs: 60_000 }));
         await cell.clock.step(0);
@@ -111,8 +111,8 @@
         assert.deepEqual(cell.getPlacer().served, []);
     });
 
-    // As above, but it wakes with a marker still to be written: the slot has another revision by then.
-    it("cannot write its marker, and says that nothing ran", async () => {
+    // As above, but it resumes before it writes its marker; the slot has another revision by then.
+    it("cannot write its marker, and replies that nothing ran", async () => {
         const { cell, first, second } = await makeCell();
         first.clock.pause();
         await cell.clock.step(30_000);
@@ -129,9 +129,9 @@
 });
 
 describe("the answer of a placer is lost", () => {
-    // The correction reached a worker, and the placer's answer never came. Trying it at another placer could run it
-    // twice, and calling it "not run" at its deadline could be untrue.
-    it("tries nothing else, and says that it may have run", async () => {
+    // The request reached a placer, whose answer never came. Another attempt could run it twice, and "not run" at its
+    // deadline could be false.
+    it("makes no other attempt, and replies that the request may have run", async () => {
         const cell = new HomeCell(["p1", "p2"]);
         const entry = cell.addEntry("h1");
         await cell.openSliceAt(entry);
@@ -147,7 +147,7 @@
 });
 
 describe("a key is used again", () => {
-    it("twice at once: runs once, and both get the outcome", async () => {
+    it("by two concurrent requests: runs once, and both get the outcome", async () => {
         const { cell, first } = await makeCell();
         const replies = [makeRequest("k"), makeRequest("k")].map(request => cell.query(first, request));
         const words = (await Promise.all(replies)).map(describeReply);
@@ -173,7 +173,7 @@
         assert.equal(describeReply(await cell.query(first, makeRequest("k"))), "done");
     });
 
-    it("while an earlier repeatable try may still run: waits, then runs again", async () => {
+    it("while an earlier repeatable attempt may still run: is uncertain, and runs again later", async () => {
         const { cell, first, second } = await makeCell();
         const placer = cell.getPlacer();
         placer.serve = () => "never";
@@ -190,7 +190,7 @@
     });
 });
 
-describe("the store loses answers or is down", () => {
+describe("the store loses answers or is unavailable", () => {
     const cases: readonly { readonly faults: readonly WriteFault[]; readonly expected: string; }[] = [
         { faults: ["doneButUnknown"], expected: "done" },
         { faults: ["lostButUnknown", "lostButUnknown"], expected: "done" },
@@ -205,11 +205,11 @@
         });
     }
 
-    // The store is down for ten minutes. Each correction is told "not run" at once, with when to come back,
-    // instead of being kept until its deadline; afterwards the same key runs.
-    it("answers at once for ten minutes, and goes on afterwards", async () => {
+    // The store is unavailable for ten minutes. Each request must be refused at once with a retry time, instead of
+    // waiting until its deadline; afterwards the same key runs.
+    it("refuses at once for ten minutes, and serves again afterwards", async () => {
         const { cell, first } = await makeCell();
-        first.store.isAway = true;
+        first.store.isUnavailable = true;
         for (let minute = 0; minute < 10; minute++) {
             const before = cell.clock.now();
             const reply = await cell.query(first, makeRequest("k"));
@@ -220,22 +220,22 @@
             assert.ok(cell.clock.now() - before < 100);
             await cell.clock.step(60_000);
         }
-        first.store.isAway = false;
+        first.store.isUnavailable = false;
         await cell.clock.step(1_000);
         assert.equal(describeReply(await cell.query(first, makeRequest("k"))), "done");
         assert.equal(cell.getPlacer().served.length, 1);
     });
 
-    // The worker answered, and then the store went away: the end is not durable, so a death now would leave only
-    // the marker. The caller is told to ask again, and gets the whole answer once the end is written.
-    it("gives the answer only when the end is durable", async () => {
+    // The worker answered, and then the store became unavailable. If the entry died now, only the marker would be
+    // left, so the caller must not get the answer until the end is durable.
+    it("replies with the answer only once the end is durable", async () => {
         const { cell, first } = await makeCell();
         cell.getPlacer().serve = () => {
-            first.store.isAway = true;
+            first.store.isUnavailable = true;
             return Promise.resolve(makeServed());
         };
         const early = await cell.query(first, makeRequest("k"));
-        first.store.isAway = false;
+        first.store.isUnavailable = false;
         await cell.clock.step(2_000);
         const late = await cell.query(first, makeRequest("k"));
         assert.deepEqual([early, late].map(describeReply), ["uncertain", "repeated done"]);
--- a/src/test/process/home/home-service_test.ts
+++ b/src/test/process/home/home-service_test.ts
@@ -1,4 +1,4 @@
-/** Fairness between teams, hand-over of a slice, and forgetting. */
+/** Fairness between teams, handover of a slice, retention, and limits. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { HomeCell, makeRequest, makeSpec, makeSubmit, requireJob, SLICE } from "./home-cell.js";
@@ -12,9 +12,9 @@
 }
 
 describe("offers", () => {
-    // A council's rebuild of 5,000 tasks is waiting when another team hands in ten tasks, and then an urgent run
-    // comes. Placers have few places: without turns the small teams would wait for the whole rebuild.
-    it("take teams in turn, and urgent work first", async () => {
+    // A job of 5,000 tasks is waiting when another team submits ten tasks, and then an urgent job. Without fair
+    // sharing of the placers' windows, the small jobs would wait for the whole large one.
+    it("alternate between teams, and put urgent work first", async () => {
         const { cell, entry, placer } = await makeCell();
         const submit = (jobId: string, team: string, tasks: number, urgent: boolean) =>
             cell.query(entry, {
@@ -38,8 +38,8 @@
         assert.equal(offered.filter(jobId => jobId === "sweep").length, 10);
     });
 
-    // A job that fits nowhere stands at the head of its team's queue: the jobs behind it must not wait for it.
-    it("pass a job that finds no placer", async () => {
+    // A job that fits on no worker is at the head of its team's queue and must not block the jobs behind it.
+    it("skip a job that finds no placer", async () => {
         const { cell, entry, placer } = await makeCell();
         const resources = { cpuMillis: 1, memoryMib: 1, accelerators: 8 };
         await cell.query(entry, makeSubmit("never", { resources }));
@@ -49,10 +49,10 @@
     });
 });
 
-describe("the hand-over of a slice", () => {
-    // An entry is replaced while a correction is at a worker. The caller gets its answer from the old entry, a
-    // repeat at the new one gets the same, and the running task of a job goes on.
-    it("lets requests finish, and loses and doubles nothing", async () => {
+describe("the handover of a slice", () => {
+    // An entry is replaced while a worker runs a request. The caller must get the answer from the old entry, a repeat
+    // at the new entry the same answer, and the running task of a job must go on.
+    it("lets requests finish, and neither loses nor duplicates work", async () => {
         const { cell, entry, placer } = await makeCell();
         const second = cell.addEntry("h2");
         cell.handleOrder = (at, order) => at.startTask(order);
@@ -84,9 +84,9 @@
 describe("retention", () => {
     const HOUR_MS = 3_600_000;
 
-    // An idempotency key is remembered for a day after the end of its request, over a change of owner, whatever
-    // wall clocks say. Forgetting it early would let a late repeat run again.
-    it("forgets ended work after its time, and not before", async () => {
+    // An idempotency key is kept for a day after the end of its request, over a change of owner and whatever the wall
+    // clocks show. If it were removed early, a late repeat would run again.
+    it("removes ended work after its retention time, and not before", async () => {
         const { cell, entry, placer } = await makeCell({ tickMs: 60_000 });
         const second = cell.addEntry("h2", { tickMs: 60_000 });
         await cell.query(entry, makeRequest("k"));
@@ -104,8 +104,9 @@
 });
 
 describe("answers and limits", () => {
-    // An answer too long to be kept goes whole to its first caller; a repeat is told that it ran, and runs nothing.
-    it("gives a long answer whole, once", async () => {
+    // An answer that is too long to store goes to its first caller only. A repeat gets "may have run" and must not
+    // run again.
+    it("returns a very long answer in full, once", async () => {
         const { cell, entry, placer } = await makeCell();
         placer.serve = () => Promise.resolve(makeServed("x".repeat(300_000)));
         const first = await cell.query(entry, makeRequest("k"));
@@ -116,14 +117,14 @@
         assert.equal(placer.served.length, 1);
     });
 
-    it("refuses a job whose record cannot be kept, with the remedy", async () => {
+    it("refuses a job whose record is too large to store, with a remedy", async () => {
         const { cell, entry } = await makeCell();
         const reply = await cell.query(entry, makeSubmit("j", { payload: "x".repeat(500_000) }));
         assert.ok(reply.kind === "refused" && reply.outcome.kind === "notRun");
         assert.match(reply.outcome.remedy, /smaller|under 300 KB/);
     });
 
-    it("refuses jobs over the limit and keys used for another job", async () => {
+    it("refuses jobs over the limit, and keys that were used for another job", async () => {
         const { cell, entry, placer } = await makeCell({ maxOpenJobs: 1 });
         placer.isReady = false;
         await cell.query(entry, makeSubmit("a"));
@@ -134,7 +135,7 @@
         assert.equal(again.kind === "job" && again.created, false);
     });
 
-    it("shows no job to another team", async () => {
+    it("hides a job from other teams", async () => {
         const { cell, entry } = await makeCell();
         await cell.query(entry, makeSubmit("j"));
         for (const kind of ["showJob", "cancelJob", "explainJob"] as const) {
--- a/src/test/process/home/home-updates_test.ts
+++ b/src/test/process/home/home-updates_test.ts
@@ -1,4 +1,4 @@
-/** What the home makes of the words of placers, and what callers are told meanwhile. */
+/** How the home handles updates from placers, and what callers are shown meanwhile. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { TaskUpdate } from "../../../connection/messages.js";
@@ -14,13 +14,13 @@
     return { cell, entry, placer: cell.getPlacer() };
 }
 
-type Told = Omit<TaskUpdate, "attempt" | "jobId" | "index">;
+type UpdateFields = Omit<TaskUpdate, "attempt" | "jobId" | "index">;
 
 describe("the end of an attempt", () => {
     const cases: readonly {
         readonly name: string;
         readonly spec: Partial<JobSpec>;
-        readonly updates: readonly Told[];
+        readonly updates: readonly UpdateFields[];
         /** Outcome of the task; undefined while it waits or runs. */
         readonly outcome: string | undefined;
         readonly attempts: number;
@@ -33,14 +33,14 @@
             attempts: 1,
         },
         {
-            name: "failed, repeatable: tried again",
+            name: "failed, repeatable: retried",
             spec: {},
             updates: [{ state: "failed", message: "no" }, { state: "done" }],
             outcome: "done",
             attempts: 2,
         },
         {
-            name: "failed each time: ends after the tries of its branch",
+            name: "failed each time: ends after the attempts that its branch allows",
             spec: {},
             updates: [{ state: "failed" }, { state: "failed" }, { state: "failed" }],
             outcome: "failed",
@@ -54,7 +54,7 @@
             attempts: 1,
         },
         {
-            name: "lost, repeatable: started again, and a loss is no failure",
+            name: "lost, repeatable: started again, and not counted as a failure",
             spec: {},
             updates: [{ state: "lost" }, { state: "lost" }, { state: "lost" }, { state: "done" }],
             outcome: "done",
@@ -68,14 +68,14 @@
             attempts: 1,
         },
         {
-            name: "preempted with a checkpoint: goes on from it",
+            name: "preempted with a checkpoint: resumed from it",
             spec: { repeatable: false },
             updates: [{ state: "stopped", checkpoint: "c1" }, { state: "done" }],
             outcome: "done",
             attempts: 2,
         },
         {
-            name: "stopped without one, not repeatable: may have run",
+            name: "stopped without a checkpoint, not repeatable: may have run",
             spec: { repeatable: false },
             updates: [{ state: "stopped" }],
             outcome: "mayHaveRun",
@@ -92,9 +92,9 @@
     for (const { name, spec, updates, outcome, attempts } of cases) {
         it(name, async () => {
             const { cell, entry, placer } = await makeCell();
-            const left = [...updates];
+            const remaining = [...updates];
             cell.handleOrder = (at, order) => {
-                const next = left.shift();
+                const next = remaining.shift();
                 if (next?.state !== "notStarted") {
                     at.startTask(order);
                 }
@@ -119,21 +119,21 @@
 describe("a task whose worker is lost each time", () => {
     const cases: readonly {
         readonly name: string;
-        /** How long each run goes on before its worker is lost. */
+        /** How long each attempt runs before its worker is lost. */
         readonly ranMs: number;
         readonly forMs: number;
         readonly mostOrders: number;
         readonly leastOrders: number;
     }[] = [
         {
-            name: "is started ever less often, as it may crash its workers",
+            name: "is started with growing backoff, as it may crash its workers",
             ranMs: 0,
             forMs: 60_000,
             mostOrders: 9,
             leastOrders: 5,
         },
         {
-            name: "is started again at once where it ran for long",
+            name: "is started again at once if it ran for long",
             ranMs: 90_000,
             forMs: 500_000,
             mostOrders: 6,
@@ -157,8 +157,8 @@
 });
 
 describe("a task that runs too long", () => {
-    // A sweep's task hangs. Its branch allows a minute: it is stopped and ends as failed, and is not tried again,
-    // since it would hang again.
+    // A task hangs and its branch allows it a minute. It must be stopped and fail without a retry, since it would
+    // hang again.
     it("is stopped and fails", async () => {
         const { cell, entry, placer } = await makeCell();
         cell.settings = makeSettings({ maxRunMs: 60_000 });
@@ -173,9 +173,9 @@
     });
 });
 
-describe("updates that come late, doubled or for another attempt", () => {
-    // A worker's slice moves: the old owner's word "running" arrives after the new owner's. The task's place must
-    // stay the new one, or its withdrawal would go to the wrong placer.
+describe("updates that are late, duplicated or for another attempt", () => {
+    // A worker's slice moves, and the old owner's update "running" arrives after the new owner's. If the home then
+    // took the old placer for the task's, a withdrawal would go to the wrong placer.
     it("keep the owner with the higher epoch", async () => {
         const { cell, entry, placer } = await makeCell();
         cell.handleOrder = (at, order) => {
@@ -188,9 +188,9 @@
         assert.equal(placer.withdrawn.length, 0);
     });
 
-    // An attempt that was given up turns up running after all, or its end is told again: the first is stopped, the
-    // second acknowledged, and neither changes what the caller was told.
-    it("are stopped or acknowledged", async () => {
+    // An attempt that was given up is reported running, and the end of another is reported again. The first must be
+    // withdrawn, the second acknowledged, and neither may change the job's state.
+    it("have their attempts withdrawn or acknowledged", async () => {
         const { cell, entry, placer } = await makeCell();
         await cell.query(entry, makeSubmit("j"));
         await cell.clock.step(100);
@@ -206,9 +206,9 @@
 });
 
 describe("work that can never fit", () => {
-    // A designer asks for more memory than any worker has. The answer to the very submission says so, with what
-    // there is; when a larger worker comes, the job starts without being handed in again.
-    it("is told at once and looked at again when the fleet changes", async () => {
+    // A job needs more memory than any worker has. The reply to its submission must say so with the largest sizes,
+    // and the job must start without another submission once a larger worker joins.
+    it("is reported at once, and started when the fleet changes", async () => {
         const { cell, entry, placer } = await makeCell();
         const resources = { cpuMillis: 1_000, memoryMib: 500_000, accelerators: 0 };
         const reply = await cell.query(entry, makeSubmit("j", { resources }));
@@ -222,10 +222,10 @@
     });
 });
 
-describe("the store is down for ten minutes", () => {
-    // Tasks that run go on and end. Their ends are not acknowledged before they are written, new jobs are refused
-    // at once, and when the store is back nothing is missing and nothing has run twice.
-    it("loses and doubles nothing", async () => {
+describe("the store is unavailable for ten minutes", () => {
+    // Running tasks end meanwhile. Their ends must not be acknowledged before they are written, and new jobs must be
+    // refused at once; afterwards nothing may be missing or have run twice.
+    it("loses and duplicates nothing", async () => {
         const { cell, entry, placer } = await makeCell();
         cell.handleOrder = (at, order) => {
             at.startTask(order);
@@ -233,7 +233,7 @@
         };
         await cell.query(entry, makeSubmit("j", { tasks: 20 }));
         await cell.clock.step(1_000);
-        entry.store.isAway = true;
+        entry.store.isUnavailable = true;
         for (let minute = 0; minute < 10; minute++) {
             await cell.clock.step(60_000);
             placer.reportAll();
@@ -241,16 +241,16 @@
         assert.equal(placer.acknowledged.size, 0);
         const refused = await cell.query(entry, makeSubmit("k"));
         assert.equal(refused.kind, "refused");
-        entry.store.isAway = false;
+        entry.store.isUnavailable = false;
         await cell.clock.step(5_000);
         assert.equal(requireJob(await cell.query(entry, show)).counts.done, 20);
         assert.deepEqual([placer.acknowledged.size, placer.started.length], [20, 20]);
     });
 });
 
-describe("paid runs while the store is down", () => {
-    // Start markers cannot be written, so none of the paid runs may start; placers give the room to others and offer
-    // it again later. When the store is back each starts once, and none is given up as "may have run".
+describe("tasks that are not repeatable while the store is unavailable", () => {
+    // Start markers cannot be written, so none of the tasks may start, and the placers' holds expire again and again.
+    // Once the store is back each must start once, and none may be given up as "may have run".
     it("wait, and start once afterwards", async () => {
         const { cell, entry, placer } = await makeCell();
         cell.handleOrder = (at, order) => {
@@ -259,11 +259,11 @@
         };
         placer.isReady = false;
         await cell.query(entry, makeSubmit("j", { tasks: 40, repeatable: false }));
-        entry.store.isAway = true;
+        entry.store.isUnavailable = true;
         placer.isReady = true;
         await cell.clock.step(120_000);
         assert.deepEqual(placer.confirmed, []);
-        entry.store.isAway = false;
+        entry.store.isUnavailable = false;
         await cell.clock.step(20_000);
         const job = requireJob(await cell.query(entry, show));
         assert.deepEqual([job.counts.done, job.counts.mayHaveRun], [40, 0]);
@@ -272,10 +272,10 @@
     });
 });
 
-describe("a slice that cannot be read back", () => {
-    // A record was altered by hand. The slice must not start with what is left of it; it says which key is wrong,
-    // and serves by itself once the record is put right.
-    it("stays closed, says so, and opens once it is mended", async () => {
+describe("a slice that cannot be recovered", () => {
+    // A record was altered by hand. The slice must not open with the remaining records; its refusals name the faulty
+    // key, and it opens by itself once the record is repaired.
+    it("stays closed, reports the key, and opens once the record is repaired", async () => {
         const { cell, entry } = await makeCell();
         await cell.query(entry, makeSubmit("j"));
         const key = `home/${SLICE}/slot/2`;
--- a/src/test/process/home/log/log-owner.ts
+++ b/src/test/process/home/log/log-owner.ts
@@ -8,7 +8,7 @@
 import type { FakeClock } from "../../../fakes/fake-clock.js";
 import { createFakeLog, createFakeMetrics } from "../../../fakes/fake-telemetry.js";
 import { PausableClock } from "../../../fakes/pausable-clock.js";
-import { StoreForHome } from "../store-for-home.js";
+import { FaultInjectingStore } from "../fault-injecting-store.js";
 
 export const SLICE = 5;
 const PACER_RATE = 10_000;
@@ -23,7 +23,7 @@
 export class LogOwner {
     readonly clock: PausableClock;
     /** The store client that is used unless another one was given. */
-    readonly store: StoreForHome;
+    readonly store: FaultInjectingStore;
     private readonly client: StoreClient;
     log: SliceLog | undefined;
     result: OpenResult | undefined;
@@ -37,7 +37,7 @@
         makeClient?: (clock: PausableClock) => StoreClient,
     ) {
         this.clock = new PausableClock(base);
-        this.store = new StoreForHome(model, this.clock);
+        this.store = new FaultInjectingStore(model, this.clock);
         this.client = makeClient?.(this.clock) ?? this.store;
     }
 
--- a/src/test/process/home/log/slice-log_test.ts
+++ b/src/test/process/home/log/slice-log_test.ts
@@ -5,7 +5,7 @@
 import { listSnapshotItems } from "../../../../process/home/state/index.js";
 import { StoreModel } from "../../../../stand-ins/store-model.js";
 import { FakeClock } from "../../../fakes/fake-clock.js";
-import type { WriteFault } from "../store-for-home.js";
+import type { WriteFault } from "../fault-injecting-store.js";
 import type { TrackedCommit } from "./log-owner.js";
 import { LogOwner, SLICE } from "./log-owner.js";
 
--- a/src/test/process/home/scripted-placer.ts
+++ b/src/test/process/home/scripted-placer.ts
@@ -1,4 +1,4 @@
-/** A placer of {@link HomeCell} that does what the test says. */
+/** A fake placer of {@link HomeCell}, controlled by the test. */
 import type { Outcome } from "../../../common/outcome.js";
 import type {
     AnswerBody,
@@ -10,33 +10,36 @@
 } from "../../../connection/messages.js";
 import type { HomeCell } from "./home-cell.js";
 
-const BIG = { cpuMillis: 64_000, memoryMib: 130_000, accelerators: 0 };
+const LARGE_CAPACITY = { cpuMillis: 64_000, memoryMib: 130_000, accelerators: 0 };
 const GRANT_HOLD_MS = 3_000;
 
-/** A placer that does what the test says, and remembers every order. */
+/** A placer that is controlled by the test and records every order. */
 export class ScriptedPlacer {
     readonly orders: PlaceOrder[] = [];
-    /** Orders of tasks that must not run twice, once their start was confirmed. */
+    /** Orders of tasks that are not repeatable and whose start was confirmed. */
     readonly confirmed: PlaceOrder[] = [];
-    /** Orders below the floor of a census. */
+    /** Orders that were refused since they are older than the floor of a census. */
     readonly refused: PlaceOrder[] = [];
     readonly withdrawn: string[] = [];
     readonly acknowledged = new Set<string>();
-    /** What it holds and tells a census: attempt to update. */
-    readonly known = new Map<string, TaskUpdate>();
+    /** The last update of each attempt that has not been acknowledged, as reported in a census. */
+    readonly knownAttempts = new Map<string, TaskUpdate>();
     readonly served: string[] = [];
-    /** Attempts that it began to run; the checks look here for a task that ran twice. */
+    /** Orders of the attempts that it began to run; tests check here that no task ran twice. */
     readonly started: PlaceOrder[] = [];
+    /** Whether its worker slices are ready, so that it gets orders and its census answers cover them. */
     isReady = true;
+    /** Whether it leaves calls without an answer. */
     isSilent = false;
-    dropsNotes = false;
+    dropsNotifications = false;
     dropsConfirmations = false;
-    /** Whether it has room for tasks that must not run twice; if not, they wait. */
+    /** Whether it has capacity for tasks that are not repeatable; if not, they stay queued. */
     grants = true;
-    largestWorker = BIG;
-    room = 1_000;
+    largestWorker = LARGE_CAPACITY;
+    /** How many tasks of a gang it can hold. */
+    capacity = 1_000;
     serve: (requestId: string) => Promise<AnswerBody> | "never" = () => Promise.resolve(makeServed());
-    private readonly byAttempt = new Map<string, PlaceOrder>();
+    private readonly ordersByAttempt = new Map<string, PlaceOrder>();
     private floor = { epoch: 0, sequence: 0 };
 
     constructor(readonly memberId: string, private readonly cell: HomeCell) {}
@@ -48,34 +51,34 @@
             totalSlots: 32,
             queuedRequests: 0,
             queuedTasks: 0,
-            free: BIG,
-            total: BIG,
+            free: LARGE_CAPACITY,
+            total: LARGE_CAPACITY,
             largestFree: this.largestWorker,
             largestWorker: this.largestWorker,
             teamUse: {},
         };
     }
 
-    receiveNote(note: NoteBody): void {
-        if (this.dropsNotes) {
+    receiveNotification(notification: NoteBody): void {
+        if (this.dropsNotifications) {
             return;
         }
-        switch (note.kind) {
+        switch (notification.kind) {
             case "place":
-                note.orders.forEach(order => this.receiveOrder(order));
+                notification.orders.forEach(order => this.receiveOrder(order));
                 break;
             case "confirm":
                 if (!this.dropsConfirmations) {
-                    note.attempts.forEach(attempt => this.receiveConfirmation(attempt));
+                    notification.attempts.forEach(attempt => this.receiveConfirmation(attempt));
                 }
                 break;
             case "withdraw":
-                note.attempts.forEach(attempt => this.receiveWithdrawal(attempt));
+                notification.attempts.forEach(attempt => this.receiveWithdrawal(attempt));
                 break;
             case "acknowledge":
-                note.attempts.forEach(attempt => {
+                notification.attempts.forEach(attempt => {
                     this.acknowledged.add(attempt);
-                    this.known.delete(attempt);
+                    this.knownAttempts.delete(attempt);
                 });
                 break;
             case "updates":
@@ -89,37 +92,37 @@
         }
         if (body.kind === "census") {
             this.floor = { epoch: body.epoch, sequence: body.floor };
-            this.dropUnsent(body.epoch);
+            this.dropUnstarted(body.epoch);
             const slices = this.isReady ? this.cell.listSlicesOf(this.memberId) : [];
-            return { kind: "census", slices, tasks: [...this.known.values()] };
+            return { kind: "census", slices, tasks: [...this.knownAttempts.values()] };
         }
         if (body.kind === "serve") {
             this.served.push(body.requestId);
             return this.serve(body.requestId);
         }
         if (body.kind === "reserve") {
-            return { kind: "reserved", held: Math.min(this.room, body.orders.length) };
+            return { kind: "reserved", held: Math.min(this.capacity, body.orders.length) };
         }
         return { kind: "error", code: "invalid", message: body.kind };
     }
 
-    /** Begins to run an attempt and says so. */
+    /** Begins to run an attempt and reports it as running. */
     startTask(order: PlaceOrder): void {
         this.started.push(order);
         this.report(order, { state: "running", workerId: "w1", sliceEpoch: 1 });
     }
 
-    /** Tells the home of an attempt; ends are kept for the census until acknowledged. */
+    /** Sends the home an update about an attempt; the update is kept for a census until it is acknowledged. */
     report(order: PlaceOrder, update: Omit<TaskUpdate, "attempt" | "jobId" | "index">): void {
         const { attempt, jobId, index } = order;
         const full = { attempt, jobId, index, ...update };
-        this.known.set(attempt, full);
+        this.knownAttempts.set(attempt, full);
         this.cell.sendUpdates(this.memberId, [full]);
     }
 
-    /** Tells everything again, as placers do until acknowledged. */
+    /** Sends all updates that were not acknowledged again, as placers do. */
     reportAll(): void {
-        this.cell.sendUpdates(this.memberId, [...this.known.values()]);
+        this.cell.sendUpdates(this.memberId, [...this.knownAttempts.values()]);
     }
 
     private receiveOrder(order: PlaceOrder): void {
@@ -130,12 +133,12 @@
             this.refused.push(order);
             return;
         }
-        if (this.byAttempt.has(order.attempt)) {
+        if (this.ordersByAttempt.has(order.attempt)) {
             return;
         }
-        this.byAttempt.set(order.attempt, order);
+        this.ordersByAttempt.set(order.attempt, order);
         this.orders.push(order);
-        this.known.set(order.attempt, { ...order, state: "queued" });
+        this.knownAttempts.set(order.attempt, { ...order, state: "queued" });
         if (order.repeatable || order.gangId !== undefined) {
             this.cell.handleOrder(this, order);
         }
@@ -146,36 +149,36 @@
     }
 
     private expireGrant(order: PlaceOrder): void {
-        if (this.known.get(order.attempt)?.state === "granted") {
+        if (this.knownAttempts.get(order.attempt)?.state === "granted") {
             this.report(order, { state: "notStarted", reason: "not confirmed in time", retryAfterMs: 250 });
         }
     }
 
-    /** What an older home ordered and was not started is given up, and told until acknowledged. */
-    private dropUnsent(epoch: number): void {
-        for (const [attempt, update] of this.known) {
-            const order = this.byAttempt.get(attempt);
-            const isUnsent = update.state === "queued" || update.state === "granted";
-            if (isUnsent && order !== undefined && order.home.epoch < epoch) {
-                this.known.set(attempt, { ...update, state: "notStarted" });
+    /** Gives up the attempts of an earlier epoch that were not started, and reports them until acknowledged. */
+    private dropUnstarted(epoch: number): void {
+        for (const [attempt, update] of this.knownAttempts) {
+            const order = this.ordersByAttempt.get(attempt);
+            const isUnstarted = update.state === "queued" || update.state === "granted";
+            if (isUnstarted && order !== undefined && order.home.epoch < epoch) {
+                this.knownAttempts.set(attempt, { ...update, state: "notStarted" });
             }
         }
     }
 
-    /** From here on it may start a task that must not run twice. */
+    /** Handles the permission to start a task that is not repeatable. */
     private receiveConfirmation(attempt: string): void {
-        const order = this.byAttempt.get(attempt);
-        if (order !== undefined && this.known.get(attempt)?.state === "granted") {
+        const order = this.ordersByAttempt.get(attempt);
+        if (order !== undefined && this.knownAttempts.get(attempt)?.state === "granted") {
             this.confirmed.push(order);
-            this.known.set(attempt, { ...order, state: "queued" });
+            this.knownAttempts.set(attempt, { ...order, state: "queued" });
             this.cell.handleOrder(this, order);
         }
     }
 
     private receiveWithdrawal(attempt: string): void {
         this.withdrawn.push(attempt);
-        const order = this.byAttempt.get(attempt);
-        const state = this.known.get(attempt)?.state;
+        const order = this.ordersByAttempt.get(attempt);
+        const state = this.knownAttempts.get(attempt)?.state;
         if (order !== undefined && (state === "queued" || state === "granted")) {
             this.report(order, { state: "notStarted", reason: "withdrawn" });
         }
@@ -185,7 +188,7 @@
     }
 }
 
-/** An answer of a placer to a service request. */
+/** Makes a placer's answer to a service request that was done. */
 export function makeServed(text = "ok"): AnswerBody {
     return { kind: "served", retrySafe: false, outcome: makeDone(text) };
 }
