--- a/src/command/base-command.ts
+++ b/src/command/base-command.ts
@@ -1,16 +1,15 @@
-/** What all commands share: output for people or programs, and errors as exit codes. */
+/** Base class of all commands: output as text or JSON, and conversion of errors to exit codes. */
 import { Command, Option, UsageError } from "clipanion";
 import { readFile } from "node:fs/promises";
 import type { SettingsFault } from "../process/operator-gateway.js";
 import { ExitCode } from "./exit-code.js";
 import { formatFaults } from "./format.js";
 
-/** Ends a command with a message for people and an exit code. */
+/** Thrown to end a command with a message and an exit code. */
 export class CommandFailure extends Error {
     /**
-     * @param code - Exit code.
-     * @param message - What went wrong and what to do, in words.
-     * @param details - What `--json` prints.
+     * @param message - What went wrong and what the user can do about it.
+     * @param details - Additional fields of the `--json` output.
      */
     constructor(
         readonly code: ExitCode,
@@ -21,11 +20,11 @@
     }
 }
 
-/** A command of the program. */
+/** Base class of all commands. */
 export abstract class BaseCommand extends Command {
     json = Option.Boolean("--json", false, { description: "Print JSON for programs" });
 
-    /** Does the work; a {@link CommandFailure} ends it early. */
+    /** Runs the command; throws {@link CommandFailure} to end it early. */
     protected abstract run(): Promise<ExitCode>;
 
     override async execute(): Promise<number> {
@@ -40,9 +39,9 @@
     }
 
     /**
-     * Prints a result.
-     * @param text - For people.
-     * @param value - For programs.
+     * Prints a result on standard output.
+     * @param text - Output without `--json`.
+     * @param value - Output with `--json`.
      */
     protected print(text: string, value: unknown): void {
         const output = this.json ? JSON.stringify(value, undefined, 4) : text;
@@ -50,21 +49,17 @@
     }
 
     /**
-     * Prints faults of settings.
-     * @param faults - The faults; empty when there are none.
-     * @param fine - What people read when there are none.
+     * Prints settings faults.
+     * @param validMessage - Text printed if there are no faults.
      * @returns The exit code.
      */
-    protected printFaults(faults: readonly SettingsFault[], fine: string): ExitCode {
-        const isFine = faults.length === 0;
-        this.print(isFine ? fine : formatFaults(faults), { valid: isFine, faults });
-        return isFine ? ExitCode.fine : ExitCode.usage;
+    protected printFaults(faults: readonly SettingsFault[], validMessage: string): ExitCode {
+        const isValid = faults.length === 0;
+        this.print(isValid ? validMessage : formatFaults(faults), { valid: isValid, faults });
+        return isValid ? ExitCode.success : ExitCode.usage;
     }
 
-    /**
-     * Reads a file that the user named.
-     * @param path - Its path.
-     */
+    /** Reads a file given by the user; throws {@link CommandFailure} if that fails. */
     protected async readTextFile(path: string): Promise<string> {
         try {
             return await readFile(path, "utf8");
@@ -94,5 +89,5 @@
         return new CommandFailure(ExitCode.usage, error.message);
     }
     const text = error instanceof Error ? error.stack ?? error.message : String(error);
-    return new CommandFailure(ExitCode.failed, `fault in the program, please report it: ${text}`);
+    return new CommandFailure(ExitCode.failed, `internal error, please report it: ${text}`);
 }
--- a/src/command/client-command.ts
+++ b/src/command/client-command.ts
@@ -1,4 +1,4 @@
-/** What commands share that talk to an entry. */
+/** Base class of the commands that call an entry over HTTP. */
 import { Option, UsageError } from "clipanion";
 import type { SettingsFault } from "../process/operator-gateway.js";
 import { BaseCommand, CommandFailure } from "./base-command.js";
@@ -6,33 +6,33 @@
 import { ExitCode } from "./exit-code.js";
 import { formatFaults } from "./format.js";
 
-const DEFAULT_ENTRY = "http://127.0.0.1:8080";
+const DEFAULT_ENTRY_URL = "http://127.0.0.1:8080";
 
-/** Body of an answer that is no success. */
+/** Body of an error response. */
 interface ErrorBody {
     readonly message?: string;
     readonly remedy?: string;
     readonly faults?: readonly SettingsFault[];
 }
 
-/** A command that talks to an entry. */
+/** Base class of commands that call an entry. */
 export abstract class ClientCommand extends BaseCommand {
     entry = Option.String("--entry", {
         env: "CACTUSRACK_ENTRY",
-        description: `Address of an entry; ${DEFAULT_ENTRY} if left out`,
+        description: `Address of an entry; defaults to ${DEFAULT_ENTRY_URL}`,
     });
 
     token = Option.String("--token", {
         env: "CACTUSRACK_TOKEN",
         description:
-            "Token of a team or operator; better given by the environment, where no process list shows it",
+            "Token of a team or operator; prefer the environment variable, which process lists do not show",
     });
 
-    /** Does the work with a client that is closed afterwards. */
+    /** Runs the command with a client, which is closed afterwards. */
     protected abstract runWith(client: EntryClient): Promise<ExitCode>;
 
     protected override async run(): Promise<ExitCode> {
-        const client = new EntryClient({ url: checkUrl(this.entry ?? DEFAULT_ENTRY), token: this.token });
+        const client = new EntryClient({ url: checkUrl(this.entry ?? DEFAULT_ENTRY_URL), token: this.token });
         try {
             return await this.runWith(client);
         }
@@ -42,13 +42,10 @@
     }
 
     /**
-     * Sends a request and reads its JSON.
-     * @param client - The client.
-     * @param method - HTTP method.
+     * Sends a request and parses the JSON response.
      * @param path - Path and query.
      * @param body - Sent as JSON.
-     * @param headers - Further headers.
-     * @returns Status and JSON of the answer.
+     * @param headers - Additional headers.
      */
     protected async query(
         client: EntryClient,
@@ -61,7 +58,7 @@
         return { status: reply.status, value: parseReply(reply) };
     }
 
-    /** As {@link query}; an answer that is no success ends the command. */
+    /** Like {@link query}, but throws a {@link CommandFailure} on an error response. */
     protected async require(
         client: EntryClient,
         method: "GET" | "POST",
@@ -85,20 +82,16 @@
             throw new CommandFailure(
                 ExitCode.failed,
                 `no answer from ${
-                    this.entry ?? DEFAULT_ENTRY
+                    this.entry ?? DEFAULT_ENTRY_URL
                 }: ${reason}; check --entry, or try another entry`,
             );
         }
     }
 }
 
-const STATUS_INVALID = 400;
+const STATUS_BAD_REQUEST = 400;
 
-/**
- * Builds the failure of a command from an entry's answer.
- * @param status - HTTP status.
- * @param value - JSON of the answer.
- */
+/** Builds the failure of a command from the HTTP status and JSON body of an entry's error response. */
 export function buildFailure(status: number, value: unknown): CommandFailure {
     const { message, remedy, faults = [] } = value as ErrorBody;
     const lines = [
@@ -106,14 +99,14 @@
         ...(remedy === undefined ? [] : [`remedy: ${remedy}`]),
         ...(faults.length === 0 ? [] : [formatFaults(faults)]),
     ];
-    const code = status === STATUS_INVALID ? ExitCode.usage : ExitCode.failed;
+    const code = status === STATUS_BAD_REQUEST ? ExitCode.usage : ExitCode.failed;
     return new CommandFailure(code, lines.join("\n"), { status, answer: value });
 }
 
 function checkUrl(url: string): string {
     if (!URL.canParse(url) || !/^https?:$/.test(new URL(url).protocol)) {
         throw new UsageError(
-            `--entry must be an address such as ${DEFAULT_ENTRY}, not ${JSON.stringify(url)}`,
+            `--entry must be an address such as ${DEFAULT_ENTRY_URL}, not ${JSON.stringify(url)}`,
         );
     }
     return url;
--- a/src/command/demo-command.ts
+++ b/src/command/demo-command.ts
@@ -1,4 +1,4 @@
-/** `demo`: a whole cell of each deployment on loopback, with every kind of work. */
+/** `demo`: runs a complete cell of each example deployment on loopback, with every kind of work. */
 import { Command, Option } from "clipanion";
 import { BaseCommand } from "./base-command.js";
 import type { DemoCell } from "./demo/demo-cell.js";
@@ -8,41 +8,41 @@
 import { ExitCode } from "./exit-code.js";
 import { waitForSignal } from "./wait-for-signal.js";
 
-/** Brings up cells in this process and hands in every kind of work. */
+/** Starts the demo cells in this process and submits every kind of work to them. */
 export class DemoCommand extends BaseCommand {
     static override paths = [["demo"]];
     static override usage = Command.Usage({
         category: "Try it",
-        description: "bring up two small cells on loopback and run every kind of work on them",
+        description: "start two small cells on loopback and run every kind of work on them",
         details: `
             Starts stand-ins for the platform (store, VM list, workers in racks over four failure domains) and three
-            entries for each of two deployments, all in this process and on loopback. Hands in a service request, a
+            entries for each of two deployments, all in this process and on loopback. Submits a service request, a
             request that must not run twice, a batch job, a gang job and a short run, and prints for each what
             happened, where and why.
 
-            With \`--keep\` it goes on serving until it is interrupted, and prints the addresses and tokens.
+            With \`--keep\` it prints the addresses and tokens and keeps serving until it is interrupted.
         `,
         examples: [
             ["Run it", "$0 demo"],
-            ["Keep the cells for trying the other commands", "$0 demo --keep"],
+            ["Keep the cells running to try the other commands", "$0 demo --keep"],
         ],
     });
 
-    keep = Option.Boolean("--keep", false, { description: "Go on serving until interrupted" });
+    keep = Option.Boolean("--keep", false, { description: "Keep serving until interrupted" });
 
     protected override async run(): Promise<ExitCode> {
         const { report, cells } = await runDemo();
-        const addresses = cells.map(listAddresses);
+        const addresses = cells.map(getAddresses);
         this.print(formatReport(report), this.keep ? { ...report, addresses } : report);
         if (this.keep) {
-            this.printKept(addresses);
+            this.printAddresses(addresses);
             await waitForSignal();
         }
         await Promise.all(cells.map(cell => cell.close()));
-        return report.ok ? ExitCode.fine : ExitCode.failed;
+        return report.ok ? ExitCode.success : ExitCode.failed;
     }
 
-    private printKept(addresses: readonly Addresses[]): void {
+    private printAddresses(addresses: readonly Addresses[]): void {
         if (!this.json) {
             this.context.stdout.write(
                 `${addresses.map(formatAddresses).join("\n\n")}\n\nInterrupt to stop.\n`,
@@ -51,7 +51,7 @@
     }
 }
 
-/** Where a kept cell serves. */
+/** Addresses and tokens of a cell that keeps serving, as printed. */
 interface Addresses {
     readonly name: string;
     readonly entries: readonly string[];
@@ -61,7 +61,7 @@
     readonly teamTokens: Readonly<Record<string, string>>;
 }
 
-function listAddresses(cell: DemoCell): Addresses {
+function getAddresses(cell: DemoCell): Addresses {
     return {
         name: cell.deployment.name,
         entries: cell.entries.map(({ self }) => self.httpUrl),
--- a/src/command/demo/demo-cell.ts
+++ b/src/command/demo/demo-cell.ts
@@ -1,4 +1,4 @@
-/** One cell of the demo on loopback: stand-ins of the platform and several entries, all in this process. */
+/** A demo cell on loopback: stand-ins for the platform and several entries, all in this process. */
 import { createHash } from "node:crypto";
 import { systemClock } from "../../common/clock.js";
 import { makeUniqueId, type Random } from "../../common/random.js";
@@ -27,14 +27,14 @@
 const SHUTDOWN_MS = 5_000;
 const SECRET_PARTS = 2;
 
-/** A worker of the demo and where it stands. */
+/** A worker of the demo and its location. */
 export interface DemoWorker {
     readonly workerId: string;
     readonly rack: string;
     readonly failureDomain: string;
 }
 
-/** A cell that serves. */
+/** A running cell. */
 export interface DemoCell {
     readonly deployment: Deployment;
     readonly entries: readonly RunningEntry[];
@@ -44,22 +44,18 @@
     /** Tokens by team. */
     readonly tokens: ReadonlyMap<string, string>;
     readonly operatorToken: string;
-    /** Shuts the entries down in order and stops the stand-ins. */
+    /** Shuts the entries down gracefully, then stops the stand-ins. */
     close(): Promise<void>;
 }
 
-/** Tools of the demo. */
+/** Dependencies that all entries of the demo share. */
 export interface DemoTools {
     readonly random: Random;
     readonly log: Log;
     readonly metrics: Metrics;
 }
 
-/**
- * Starts a cell.
- * @param deployment - Which one.
- * @param tools - Random source, log and metrics of all entries.
- */
+/** Starts the cell of a deployment; the settings tree stays empty until it is edited. */
 export async function startDemoCell(deployment: Deployment, tools: DemoTools): Promise<DemoCell> {
     const clock = systemClock;
     const store = await startStoreStandIn({ clock });
@@ -133,11 +129,11 @@
     return await Promise.all(starts);
 }
 
-/** Goes through the same check as an operator's file, so that the demo cannot run on settings that it refuses. */
+/** Validates settings like an operator's file, so that the demo only runs on settings that an entry accepts. */
 function buildSettings(value: object) {
     const parsed = parseEntrySettings(JSON.stringify(value));
     if (parsed.kind === "faults") {
-        throw new Error(`settings of the demo: ${JSON.stringify(parsed.faults)}`);
+        throw new Error(`invalid demo settings: ${JSON.stringify(parsed.faults)}`);
     }
     return parsed.value;
 }
@@ -154,14 +150,11 @@
     return createHash("sha256").update(token).digest("hex");
 }
 
-/**
- * Lists the changes that bring the deployment's tree, with the teams' tokens, into a new cell.
- * @param cell - The cell.
- */
+/** Lists the changes that turn the default tree into the deployment's tree, with the teams' tokens added. */
 export function listTreeChanges(cell: DemoCell): readonly FieldChange[] {
     const parsed = parseTreeFile(JSON.stringify(cell.deployment.tree));
     if (parsed.kind === "faults") {
-        throw new Error(`tree of the demo: ${JSON.stringify(parsed.faults)}`);
+        throw new Error(`invalid demo settings tree: ${JSON.stringify(parsed.faults)}`);
     }
     const teams = Object.entries(parsed.value.teams ?? {}).map(([team, settings]) => {
         const token = cell.tokens.get(team);
--- a/src/command/demo/deployments.ts
+++ b/src/command/demo/deployments.ts
@@ -1,22 +1,22 @@
-/** The two deployments of the demo: their places, sizes, trees and what their callers hand in. */
+/** The two deployments of the demo: failure domains, sizes, settings trees and the work that callers submit. */
 import hooghlyTree from "../../../examples/hooghly.json" with { type: "json" };
 import porteAperteTree from "../../../examples/porte-aperte.json" with { type: "json" };
 import type { Resources } from "../../common/resources.js";
 import type { JobKind } from "../../request/work.js";
 
-/** Work of the demo that a caller hands in as a service request. */
+/** Demo work submitted as a service request. */
 export interface DemoRequest {
     readonly kind: "request";
     readonly title: string;
     readonly team: string;
     readonly branch: string;
     readonly repeatable: boolean;
-    /** Sent again with the same key at another entry, to show that it runs once. */
+    /** Whether it is sent again with the same key to another entry, to show that it runs only once. */
     readonly isSentTwice: boolean;
     readonly body: string;
 }
 
-/** Work of the demo that a caller hands in as a job. */
+/** Demo work submitted as a job. */
 export interface DemoJob {
     readonly kind: "job";
     readonly title: string;
@@ -29,11 +29,11 @@
 
 export type DemoWork = DemoRequest | DemoJob;
 
-/** A deployment in small. */
+/** A small-scale deployment. */
 export interface Deployment {
     readonly name: string;
     readonly failureDomains: readonly string[];
-    /** Size of each worker. */
+    /** Capacity of each worker. */
     readonly worker: Resources;
     /** Root of the settings tree. */
     readonly tree: unknown;
@@ -42,7 +42,7 @@
 
 const WORKER_CPU_MILLIS = 64_000;
 
-/** Workers of a deployment, and how many stand in one rack. */
+/** Workers per deployment. */
 export const WORKERS = 30;
 export const WORKERS_PER_RACK = 6;
 export const SLOTS_PER_WORKER = 8;
--- a/src/command/demo/run-demo.ts
+++ b/src/command/demo/run-demo.ts
@@ -1,17 +1,17 @@
-/** Runs the demo: brings up the cells, hands in each kind of work and collects the reports. */
+/** Runs the demo: starts the cells, submits each kind of work and collects the reports. */
 import { type Millis, sleep, systemClock } from "../../common/clock.js";
 import type { StatusView } from "../../process/operator-gateway.js";
 import { createSilentMetrics } from "../../process/sinks/index.js";
 import { createProcessRandom } from "../../process/start-entry.js";
-import { createDecisionKeeper, type DecisionKeeper } from "./decision-keeper.js";
+import { createDecisionRecorder, type DecisionRecorder } from "./decision-recorder.js";
 import { type DemoCell, listTreeChanges, startDemoCell } from "./demo-cell.js";
 import { DEPLOYMENTS } from "./deployments.js";
 import { runWork, type WorkReport } from "./run-work.js";
 
-const READY_LIMIT_MS: Millis = 15_000;
-const POLL_MS: Millis = 50;
+const READY_TIMEOUT_MS: Millis = 15_000;
+const POLL_INTERVAL_MS: Millis = 50;
 
-/** How one deployment went. */
+/** Result of one deployment. */
 export interface DeploymentReport {
     readonly name: string;
     readonly entries: readonly {
@@ -21,12 +21,12 @@
     }[];
     readonly workers: number;
     readonly readyMs: number;
-    /** Answer to the edit that brought the tree in. */
+    /** Reply to the edit that installed the settings tree. */
     readonly edit: string;
     readonly work: readonly WorkReport[];
 }
 
-/** How the demo went. */
+/** Result of the demo. */
 export interface DemoReport {
     readonly ok: boolean;
     readonly tookMs: number;
@@ -34,16 +34,16 @@
     readonly warnings: Readonly<Record<string, number>>;
 }
 
-/** A demo whose cells still serve. */
+/** A completed demo whose cells are still running. */
 export interface FinishedDemo {
     readonly report: DemoReport;
     readonly cells: readonly DemoCell[];
 }
 
-/** Runs the demo; the caller closes the cells. */
+/** Runs the demo. The caller must close the cells. */
 export async function runDemo(): Promise<FinishedDemo> {
     const startedAt = systemClock.now();
-    const decisions = createDecisionKeeper();
+    const decisions = createDecisionRecorder();
     const tools = { random: createProcessRandom(), log: decisions, metrics: createSilentMetrics() };
     const cells = await Promise.all(DEPLOYMENTS.map(deployment => startDemoCell(deployment, tools)));
     const deployments = await Promise.all(cells.map(cell => runCell(cell, decisions, startedAt)));
@@ -60,7 +60,7 @@
 
 async function runCell(
     cell: DemoCell,
-    decisions: DecisionKeeper,
+    decisions: DecisionRecorder,
     startedAt: Millis,
 ): Promise<DeploymentReport> {
     await waitUntil(() =>
@@ -72,8 +72,8 @@
     );
     const readyMs = Math.round(systemClock.now() - startedAt);
     const work: WorkReport[] = [];
-    for (const [index, each] of cell.deployment.work.entries()) {
-        work.push(await runWork({ cell, decisions }, each, index));
+    for (const [index, demoWork] of cell.deployment.work.entries()) {
+        work.push(await runWork({ cell, decisions }, demoWork, index));
     }
     return {
         name: cell.deployment.name,
@@ -115,10 +115,10 @@
         .filter(({ state }) => state === "open").length;
 }
 
-/** Gives up silently: what was not ready shows in the reports of the work. */
+/** Returns without an error on timeout: a cell that is not ready shows in the work reports. */
 async function waitUntil(isDone: () => boolean): Promise<void> {
-    const deadline = systemClock.now() + READY_LIMIT_MS;
+    const deadline = systemClock.now() + READY_TIMEOUT_MS;
     while (!isDone() && systemClock.now() < deadline) {
-        await sleep(systemClock, POLL_MS);
+        await sleep(systemClock, POLL_INTERVAL_MS);
     }
 }
--- a/src/command/demo/run-work.ts
+++ b/src/command/demo/run-work.ts
@@ -1,15 +1,15 @@
-/** Hands the work of the demo in through the callers' interface and reports how it ended. */
+/** Submits the demo's work through the caller API and reports its outcome. */
 import { type Millis, sleep, systemClock } from "../../common/clock.js";
 import { EntryClient, parseReply } from "../entry-client.js";
-import type { DecisionKeeper } from "./decision-keeper.js";
+import type { DecisionRecorder } from "./decision-recorder.js";
 import type { DemoCell } from "./demo-cell.js";
 import type { DemoJob, DemoRequest, DemoWork } from "./deployments.js";
 
 const DEADLINE_MS: Millis = 15_000;
-const RETRY_MS: Millis = 100;
-const STATUS_ERROR = 400;
+const RETRY_INTERVAL_MS: Millis = 100;
+const FIRST_ERROR_STATUS = 400;
 
-/** How one piece of work ended. */
+/** Outcome of one piece of work. */
 export interface WorkReport {
     readonly title: string;
     readonly kind: string;
@@ -25,14 +25,14 @@
     readonly tookMs: number;
 }
 
-/** What a run needs. */
+/** The cell to run work on, and the recorded decisions. */
 interface RunContext {
     readonly cell: DemoCell;
-    readonly decisions: DecisionKeeper;
+    readonly decisions: DecisionRecorder;
 }
 
-/** A job as the callers' interface shows it. */
-interface ShownJob {
+/** A job as returned by the caller API. */
+interface JobView {
     readonly jobId: string;
     readonly state: string;
     readonly counts: Readonly<Record<string, number>>;
@@ -43,10 +43,8 @@
 }
 
 /**
- * Hands in one piece of work and waits for its end.
- * @param context - The cell and its decisions.
- * @param work - The work.
- * @param index - Chooses the entry that it is handed to.
+ * Submits one piece of work and waits for its end.
+ * @param index - Selects the entry that receives the work, modulo the number of entries.
  */
 export async function runWork(context: RunContext, work: DemoWork, index: number): Promise<WorkReport> {
     const startedAt = systemClock.now();
@@ -69,7 +67,7 @@
 function getEntry(cell: DemoCell, index: number) {
     const entry = cell.entries[index % cell.entries.length];
     if (entry === undefined) {
-        throw new Error("a cell of the demo has no entries");
+        throw new Error("demo cell has no entries");
     }
     return entry;
 }
@@ -88,29 +86,29 @@
     const first = await sendTo(context.cell, work, index, path, headers);
     const second = work.isSentTwice ? await sendTo(context.cell, work, index + 1, path, headers) : first;
     const worker = first.headers["x-worker-id"] ?? "";
-    const isSame = second.text === first.text &&
+    const isSameReply = second.text === first.text &&
         second.headers["x-worker-id"] === first.headers["x-worker-id"];
     const requestId = first.headers["x-request-id"] ?? "";
     return {
-        ok: first.status < STATUS_ERROR && isSame,
+        ok: first.status < FIRST_ERROR_STATUS && isSameReply,
         what: `HTTP ${first.status}: ${first.text}` +
             (work.isSentTwice ?
-                `; sent again with the same key to another entry: ${describeRepeat(second, isSame)}` :
+                `; sent again with the same key to another entry: ${describeRepeat(second, isSameReply)}` :
                 ""),
-        where: describePlaces(context.cell, [worker]),
+        where: describeWorkers(context.cell, [worker]),
         why: explainRequest(context.decisions, requestId),
     };
 }
 
 function describeRepeat(
     reply: { readonly headers: Readonly<Record<string, string>>; },
-    isSame: boolean,
+    isSameReply: boolean,
 ): string {
     const repeated = reply.headers["x-repeated"] === "true" ? "remembered, not run again" : "not remembered";
-    return `${repeated}, ${isSame ? "the same answer" : "another answer"}`;
+    return `${repeated}, ${isSameReply ? "the same answer" : "another answer"}`;
 }
 
-function explainRequest(decisions: DecisionKeeper, requestId: string): readonly string[] {
+function explainRequest(decisions: DecisionRecorder, requestId: string): readonly string[] {
     const decision = decisions.findDecision(requestId);
     return decision === undefined ? [] : [decision.reason];
 }
@@ -141,15 +139,15 @@
             repeatable: true,
             payload: JSON.stringify({ runMs: work.runMs, answer: "computed" }),
         }, { "idempotency-key": `demo-${work.title.replaceAll(" ", "-")}` });
-        if (submitted.status >= STATUS_ERROR) {
+        if (submitted.status >= FIRST_ERROR_STATUS) {
             return { ok: false, what: `HTTP ${submitted.status}: ${submitted.text}`, where: "", why: [] };
         }
-        const job = await waitEnded(client, (parseReply(submitted) as ShownJob).jobId);
+        const job = await waitForEnd(client, (parseReply(submitted) as JobView).jobId);
         const explained = parseReply(await client.request("GET", `/v1/jobs/${job.jobId}/explain`));
         return {
             ok: job.counts["done"] === work.tasks,
             what: `job ${job.jobId}: ${describeCounts(job.counts)}`,
-            where: describePlaces(
+            where: describeWorkers(
                 context.cell,
                 job.tasks.map(task => task.outcome?.workerId ?? task.workerId ?? ""),
             ),
@@ -165,18 +163,18 @@
     }
 }
 
-async function waitEnded(client: EntryClient, jobId: string): Promise<ShownJob> {
+async function waitForEnd(client: EntryClient, jobId: string): Promise<JobView> {
     const deadline = systemClock.now() + DEADLINE_MS;
     for (;;) {
         const reply = await client.request("GET", `/v1/jobs/${jobId}?waitMs=${DEADLINE_MS}`);
-        const job = parseReply(reply) as ShownJob;
-        if (reply.status < STATUS_ERROR && (job.state === "ended" || systemClock.now() > deadline)) {
+        const job = parseReply(reply) as JobView;
+        if (reply.status < FIRST_ERROR_STATUS && (job.state === "ended" || systemClock.now() > deadline)) {
             return job;
         }
         if (systemClock.now() > deadline) {
             return { jobId, state: "unknown", counts: {}, tasks: [] };
         }
-        await sleep(systemClock, RETRY_MS);
+        await sleep(systemClock, RETRY_INTERVAL_MS);
     }
 }
 
@@ -187,10 +185,10 @@
         parts.map(([state, count]) => `${count} ${state}`).join(", ");
 }
 
-function describePlaces(cell: DemoCell, workerIds: readonly string[]): string {
-    const known = workerIds.flatMap(workerId => cell.workers.get(workerId) ?? []);
-    const workers = new Set(known.map(({ workerId }) => workerId));
-    const domains = new Set(known.map(({ failureDomain }) => failureDomain));
+function describeWorkers(cell: DemoCell, workerIds: readonly string[]): string {
+    const knownWorkers = workerIds.flatMap(workerId => cell.workers.get(workerId) ?? []);
+    const workers = new Set(knownWorkers.map(({ workerId }) => workerId));
+    const domains = new Set(knownWorkers.map(({ failureDomain }) => failureDomain));
     if (workers.size === 0) {
         return "no worker";
     }
@@ -199,7 +197,7 @@
         `${workers.size} workers in ${[...domains].sort().join(", ")}`;
 }
 
-function explainJob(decisions: DecisionKeeper, jobId: string, lines: readonly string[]): readonly string[] {
+function explainJob(decisions: DecisionRecorder, jobId: string, lines: readonly string[]): readonly string[] {
     const decision = decisions.findDecision(jobId);
     return decision === undefined ? lines : [...lines, `a task: ${decision.reason}`];
 }
--- a/src/command/entry-client.ts
+++ b/src/command/entry-client.ts
@@ -1,4 +1,4 @@
-/** Calls to an entry's HTTP interface. */
+/** Client of an entry's HTTP interface. */
 import { Pool } from "undici";
 import { CommandFailure } from "./base-command.js";
 import { ExitCode } from "./exit-code.js";
@@ -6,14 +6,14 @@
 const HEADERS_TIMEOUT_MS = 90_000;
 const CONNECT_TIMEOUT_MS = 5_000;
 
-/** An answer of an entry. */
+/** Response of an entry. */
 export interface EntryReply {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly text: string;
 }
 
-/** Where and as whom to call. */
+/** Address of an entry and the token to authenticate with. */
 export interface EntryTarget {
     /** `http://host:port`. */
     readonly url: string;
@@ -24,7 +24,6 @@
 export class EntryClient {
     private readonly pool: Pool;
 
-    /** @param target - Where and as whom to call. */
     constructor(private readonly target: EntryTarget) {
         this.pool = new Pool(target.url, {
             connections: 8,
@@ -35,11 +34,10 @@
     }
 
     /**
-     * Sends a request.
-     * @param method - HTTP method.
+     * Sends a request and reads the whole response.
      * @param path - Path and query.
-     * @param body - Sent as JSON, or as it is if it is text.
-     * @param headers - Further headers.
+     * @param body - Sent as JSON, or unchanged if it is a string.
+     * @param headers - Additional headers.
      */
     async request(
         method: "GET" | "POST",
@@ -58,7 +56,7 @@
         return { status: response.statusCode, headers: Object.fromEntries(received), text };
     }
 
-    /** Closes the connections. */
+    /** Closes all connections; pending requests fail. */
     async close(): Promise<void> {
         await this.pool.destroy();
     }
@@ -71,10 +69,7 @@
     }
 }
 
-/**
- * Reads the JSON of an answer.
- * @param reply - The answer.
- */
+/** Parses the JSON body of a response; throws {@link CommandFailure} if it is not JSON. */
 export function parseReply(reply: EntryReply): unknown {
     try {
         return JSON.parse(reply.text);
@@ -82,7 +77,7 @@
     catch {
         throw new CommandFailure(
             ExitCode.failed,
-            `the answer (HTTP ${reply.status}) is not JSON: check that --entry names an entry of cactusrack`,
+            `the response (HTTP ${reply.status}) is not JSON: check that --entry is the address of a cactusrack entry`,
         );
     }
 }
--- a/src/command/entry-command.ts
+++ b/src/command/entry-command.ts
@@ -1,4 +1,4 @@
-/** `entry`: the server. */
+/** `entry`: runs an entry, the server of a cell. */
 import { Command, Option } from "clipanion";
 import { systemClock } from "../common/clock.js";
 import { type EntrySettings, parseEntrySettings } from "../process/entry-settings/index.js";
@@ -16,16 +16,16 @@
 
 const STANDARD_OUTPUT = 1;
 
-/** Runs an entry until it is asked to end. */
+/** Runs an entry until SIGTERM or SIGINT. */
 export class EntryCommand extends BaseCommand {
     static override paths = [["entry"]];
     static override usage = Command.Usage({
         category: "Entry",
         description: "run an entry of a cell",
         details: `
-            Serves callers and operators until SIGTERM or SIGINT, then shuts down in order: the readiness check
-            fails, requests in flight get their answers, slices are handed over, and the process exits with 0. A second
-            signal ends it at once. Log lines go to standard output as JSON.
+            Serves callers and operators until SIGTERM or SIGINT, then shuts down gracefully: the readiness check
+            fails, requests in flight are answered, slices are handed over, and the process exits with 0. A second
+            signal ends it immediately. Log lines go to standard output as JSON.
         `,
         examples: [["Run an entry", "$0 entry --settings entry.json"]],
     });
@@ -57,7 +57,7 @@
     await running.leave();
     await metrics.close();
     await log.close();
-    return ExitCode.fine;
+    return ExitCode.success;
 }
 
 function openMetrics(settings: EntrySettings, memberId: string): Metrics & { close(): Promise<void>; } {
@@ -71,6 +71,6 @@
     const reason = error instanceof Error ? error.message : String(error);
     throw new CommandFailure(
         ExitCode.failed,
-        `the entry cannot start: ${reason}; check the addresses and ports of the settings`,
+        `the entry failed to start: ${reason}; check the addresses and ports in the settings`,
     );
 }
--- a/src/command/exit-code.ts
+++ b/src/command/exit-code.ts
@@ -1,9 +1,9 @@
 /** Exit codes of the program, as docs/OPERATORS.md lists them. */
 export const ExitCode = {
-    fine: 0,
-    /** The operation was tried and failed, or was refused. */
+    success: 0,
+    /** The operation failed or was refused. */
     failed: 1,
-    /** Bad usage or settings: nothing was tried. */
+    /** Invalid arguments or settings; the operation was not attempted. */
     usage: 2,
 } as const;
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
--- a/src/command/format.ts
+++ b/src/command/format.ts
@@ -1,10 +1,7 @@
-/** Texts for people. */
+/** Formatting of command output as text. */
 import type { FieldChange, FieldConflict, SettingsFault } from "../process/operator-gateway.js";
 
-/**
- * Formats rows in columns.
- * @param rows - The rows; the first is the head.
- */
+/** Formats rows as aligned columns; the first row is the header. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
     const widths = rows.reduce<number[]>(
         (widest, row) => row.map((cell, column) => Math.max(widest[column] ?? 0, cell.length)),
@@ -15,10 +12,7 @@
         .join("\n");
 }
 
-/**
- * Formats faults, each with what was found, what is allowed and the remedy.
- * @param faults - The faults.
- */
+/** Formats faults, each with the value found, the values allowed and the remedy, followed by their number. */
 export function formatFaults(faults: readonly SettingsFault[]): string {
     const count = `${faults.length} fault${faults.length === 1 ? "" : "s"}`;
     const blocks = faults.map(({ path, found, allowed, remedy }) =>
@@ -27,27 +21,17 @@
     return [...blocks, count].join("\n\n");
 }
 
-/**
- * Formats the place of a field as it is written in edits.
- * @param path - Path of the branch.
- * @param field - Name of the field.
- */
+/** Formats a field as `BRANCH:FIELD`, the form used in edits. */
 export function formatField(path: string, field: string): string {
     return `${path}:${field}`;
 }
 
-/**
- * Formats a value of the tree.
- * @param value - Any JSON value, or undefined where a branch has none of its own.
- */
+/** Formats a JSON value of the tree; undefined means that the branch inherits the field. */
 export function formatJsonValue(value: unknown): string {
     return value === undefined ? "(inherited)" : JSON.stringify(value);
 }
 
-/**
- * Formats changes of an edit.
- * @param changes - The changes, with the former value where known.
- */
+/** Formats the changes of an edit, one a line, with the former value if known. */
 export function formatChanges(changes: readonly (FieldChange & { readonly before?: unknown; })[]): string {
     return changes
         .map(({ path, field, before, value }) =>
@@ -56,10 +40,7 @@
         .join("\n");
 }
 
-/**
- * Formats conflicts with all three values.
- * @param conflicts - The conflicts.
- */
+/** Formats conflicts, each with the base value and both new values. */
 export function formatConflicts(conflicts: readonly FieldConflict[]): string {
     return conflicts
         .map(({ path, field, base, theirs, yours }) =>
--- a/src/command/index.ts
+++ b/src/command/index.ts
@@ -1,4 +1,4 @@
-/** The command line: `cactusrack COMMAND`. */
+/** Command line interface: `cactusrack COMMAND`. */
 import { type BaseContext, Builtins, Cli, type Command, type CommandClass } from "clipanion";
 import { CheckCommand } from "./check-command.js";
 import { DemoCommand } from "./demo-command.js";
@@ -16,7 +16,7 @@
 import { TreeHistoryCommand } from "./tree-history-command.js";
 import { TreeSetCommand } from "./tree-set-command.js";
 
-/** Version of the program, as printed by `--version`. */
+/** Program version, as printed by `--version`. */
 export const PROGRAM_VERSION = "0.1.0";
 
 const COMMANDS: readonly CommandClass[] = [
@@ -40,9 +40,9 @@
 
 /**
  * Runs one command.
- * @param args - Arguments after the program's name.
- * @param streams - Where output goes; the process's own if left out.
- * @returns The exit code: 0 fine, 1 the operation failed, 2 bad usage or settings.
+ * @param args - Arguments after the program name.
+ * @param streams - Output streams; default to those of the process.
+ * @returns The exit code: 0 for success, 1 if the operation failed, 2 for invalid arguments or settings.
  */
 export async function runCommandLine(
     args: readonly string[],
--- a/src/command/job-cancel-command.ts
+++ b/src/command/job-cancel-command.ts
@@ -1,24 +1,25 @@
-/** `job cancel`: ends a job at its caller's wish. */
+/** `job cancel`: cancels a job at its caller's request. */
 import { Command, Option } from "clipanion";
 import type { EntryClient } from "./entry-client.js";
 import { ExitCode } from "./exit-code.js";
-import { formatJob, JobCommand, type ShownJob } from "./job-command.js";
+import { formatJob, JobCommand, type JobView } from "./job-command.js";
 
-/** Cancels a job; repeating it has no further effect. */
+/** Cancels a job. Idempotent. */
 export class JobCancelCommand extends JobCommand {
     static override paths = [["job", "cancel"]];
     static override usage = Command.Usage({
         category: "Jobs",
         description: "cancel a job",
-        details: "Tasks that wait are dropped and running ones stopped. Repeating it has no further effect.",
+        details:
+            "Waiting tasks are dropped and running ones stopped. Repeating the command has no further effect.",
         examples: [["Cancel a job", "$0 job cancel JOB"]],
     });
 
     jobId = Option.String({ name: "JOB" });
 
     protected override async runWith(client: EntryClient): Promise<ExitCode> {
-        const job = await this.require(client, "POST", `${this.getPath(this.jobId)}/cancel`) as ShownJob;
+        const job = await this.require(client, "POST", `${this.getJobPath(this.jobId)}/cancel`) as JobView;
         this.print(formatJob(job), job);
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
--- a/src/command/job-command.ts
+++ b/src/command/job-command.ts
@@ -1,19 +1,19 @@
-/** What the commands of jobs share. */
+/** Base class of the job commands, and the text output of a job. */
 import { ClientCommand } from "./client-command.js";
 import { formatTable } from "./format.js";
 
-/** A job as the callers' interface shows it. */
-export interface ShownJob {
+/** A job as returned by the caller API. */
+export interface JobView {
     readonly jobId: string;
     readonly state: string;
     readonly team: string;
     readonly submitted: string;
     readonly spec: { readonly kind: string; readonly branch: string; readonly tasks: number; };
     readonly counts: Readonly<Record<string, number>>;
-    readonly tasks: readonly ShownTask[];
+    readonly tasks: readonly TaskView[];
 }
 
-interface ShownTask {
+interface TaskView {
     readonly index: number;
     readonly state: string;
     readonly workerId?: string;
@@ -27,21 +27,18 @@
     };
 }
 
-const MAX_ANSWER_SHOWN = 60;
+const MAX_ANSWER_LENGTH = 60;
 
-/** A command about jobs. */
+/** Base class of commands that operate on jobs. */
 export abstract class JobCommand extends ClientCommand {
-    /** Path of a job, safe for any id. */
-    protected getPath(jobId: string): string {
+    /** Returns the URL path of a job, with its id encoded. */
+    protected getJobPath(jobId: string): string {
         return `/v1/jobs/${encodeURIComponent(jobId)}`;
     }
 }
 
-/**
- * Formats a job for people.
- * @param job - The job.
- */
-export function formatJob(job: ShownJob): string {
+/** Formats a job as text: a summary followed by a table of its tasks. */
+export function formatJob(job: JobView): string {
     const counts = Object.entries(job.counts).filter(([, count]) => count > 0);
     const rows = job.tasks.map(task => [
         String(task.index),
@@ -58,7 +55,7 @@
     ].join("\n");
 }
 
-function describeOutcome({ outcome }: ShownTask): string {
+function describeOutcome({ outcome }: TaskView): string {
     const text = outcome?.answer ?? outcome?.message ?? outcome?.remedy ?? "";
-    return text.length <= MAX_ANSWER_SHOWN ? text : `${text.slice(0, MAX_ANSWER_SHOWN)}…`;
+    return text.length <= MAX_ANSWER_LENGTH ? text : `${text.slice(0, MAX_ANSWER_LENGTH)}…`;
 }
--- a/src/command/job-show-command.ts
+++ b/src/command/job-show-command.ts
@@ -1,10 +1,10 @@
-/** `job show`: the state of a job. */
+/** `job show`: prints the state of a job. */
 import { Command, Option, UsageError } from "clipanion";
 import type { EntryClient } from "./entry-client.js";
 import { ExitCode } from "./exit-code.js";
-import { formatJob, JobCommand, type ShownJob } from "./job-command.js";
+import { formatJob, JobCommand, type JobView } from "./job-command.js";
 
-/** Prints a job, if wanted after waiting for its end. */
+/** Prints a job, optionally after waiting for its end. */
 export class JobShowCommand extends JobCommand {
     static override paths = [["job", "show"]];
     static override usage = Command.Usage({
@@ -17,7 +17,7 @@
     });
 
     jobId = Option.String({ name: "JOB" });
-    waitMs = Option.String("--wait-ms", "0", { description: "Longest wait for its end, in milliseconds" });
+    waitMs = Option.String("--wait-ms", "0", { description: "Maximum wait for its end, in milliseconds" });
 
     protected override async runWith(client: EntryClient): Promise<ExitCode> {
         if (!/^\d{1,6}$/.test(this.waitMs)) {
@@ -26,8 +26,8 @@
             );
         }
         const query = this.waitMs === "0" ? "" : `?waitMs=${this.waitMs}`;
-        const job = await this.require(client, "GET", `${this.getPath(this.jobId)}${query}`) as ShownJob;
+        const job = await this.require(client, "GET", `${this.getJobPath(this.jobId)}${query}`) as JobView;
         this.print(formatJob(job), job);
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
--- a/src/command/status-command.ts
+++ b/src/command/status-command.ts
@@ -1,4 +1,4 @@
-/** `status`: the state of the cell as one entry knows it. */
+/** `status`: prints the state of the cell as seen by one entry. */
 import { Command, Option } from "clipanion";
 import type { StatusView } from "../process/operator-gateway.js";
 import { ClientCommand } from "./client-command.js";
@@ -6,13 +6,14 @@
 import { ExitCode } from "./exit-code.js";
 import { formatTable } from "./format.js";
 
-/** Prints members, slices, workers and jobs. */
+/** Prints a summary of slices, workers and jobs, the members, and optionally the workers. */
 export class StatusCommand extends ClientCommand {
     static override paths = [["status"]];
     static override usage = Command.Usage({
         category: "Cell",
-        description: "print the state of the cell as one entry knows it",
-        details: "Workers are those that the entry asked is the placer of; ask each entry to see all.",
+        description: "print the state of the cell as seen by one entry",
+        details:
+            "Lists only the workers whose placer is the entry that answers; query each entry to see all.",
         examples: [
             ["Print a summary", "$0 status"],
             ["Print all workers too", "$0 status --workers"],
@@ -25,7 +26,7 @@
         const status = await this.require(client, "GET", "/v1/admin/status") as StatusView;
         const parts = [formatSummary(status), formatMembers(status)];
         this.print([...parts, ...(this.workers ? [formatWorkers(status)] : [])].join("\n\n"), status);
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
 
--- a/src/command/tree-check-command.ts
+++ b/src/command/tree-check-command.ts
@@ -1,4 +1,4 @@
-/** `tree check`: a file by itself, or a dry run of an edit. */
+/** `tree check`: validates a tree file, or performs a dry run of an edit. */
 import { Command, Option, UsageError } from "clipanion";
 import type { DryRunReport } from "../process/operator-gateway.js";
 import { parseTreeFile } from "../version/index.js";
@@ -7,15 +7,15 @@
 import { formatConflicts, formatFaults, formatJsonValue } from "./format.js";
 import { parseChanges, TREE_PATH, TreeCommand } from "./tree-command.js";
 
-/** Checks a file, or shows what an edit would do without making it. */
+/** Validates a file locally, or asks an entry for the effects of an edit without applying it. */
 export class TreeCheckCommand extends TreeCommand {
     static override paths = [["tree", "check"]];
     static override usage = Command.Usage({
         category: "Settings tree",
         description: "check a tree file, or show what an edit would do",
         details: `
-            With \`--file\` the file is checked here, and no entry is asked. With changes the entry says which branches
-            would change and what that means for work that waits; nothing is written.
+            With \`--file\` the file is checked locally, without an entry. With changes the entry reports which branches
+            would change and what that means for waiting work; nothing is written.
         `,
         examples: [
             ["Check a file", "$0 tree check --file tree.json"],
@@ -28,7 +28,7 @@
 
     protected override async run(): Promise<ExitCode> {
         if ((this.file === undefined) === (this.changes.length === 0)) {
-            throw new UsageError("name a file by --file, or changes as BRANCH:FIELD=VALUE, and not both");
+            throw new UsageError("specify either a file with --file or changes as BRANCH:FIELD=VALUE");
         }
         return this.file === undefined ? await super.run() : await this.checkFile(this.file);
     }
@@ -42,7 +42,7 @@
         if (report.faults.length > 0) {
             return ExitCode.usage;
         }
-        return report.conflicts.length > 0 ? ExitCode.failed : ExitCode.fine;
+        return report.conflicts.length > 0 ? ExitCode.failed : ExitCode.success;
     }
 
     private async checkFile(file: string): Promise<ExitCode> {
--- a/src/command/tree-command.ts
+++ b/src/command/tree-command.ts
@@ -1,4 +1,4 @@
-/** What the commands of the settings tree share. */
+/** Base class of the commands that read or edit the settings tree. */
 import { UsageError } from "clipanion";
 import { randomUUID } from "node:crypto";
 import type { EditReply, FieldChange, TreeEdit, TreeView } from "../process/operator-gateway.js";
@@ -8,13 +8,13 @@
 import { ExitCode } from "./exit-code.js";
 import { formatConflicts, formatFaults } from "./format.js";
 
-/** Path of the tree in an entry's interface. */
+/** URL path of the tree in an entry's operator API. */
 export const TREE_PATH = "/v1/admin/tree";
 
-/** Words that stand for the removal of a branch's own value. */
-const INHERIT = "inherit";
+/** Value that removes a branch's own setting, so that the branch inherits it. */
+const INHERIT_KEYWORD = "inherit";
 
-/** A command that reads or edits the tree. */
+/** Base class of commands that read or edit the tree. */
 export abstract class TreeCommand extends ClientCommand {
     /** Reads the tree in force. */
     protected async readTree(client: EntryClient): Promise<TreeView> {
@@ -23,9 +23,8 @@
 
     /**
      * Builds an edit.
-     * @param changes - What it changes.
-     * @param baseVersion - Version that it is made from.
-     * @param editId - Its id; a new one if undefined.
+     * @param baseVersion - Version of the tree that the changes are based on.
+     * @param editId - Id of the edit; generated if undefined.
      */
     protected buildEdit(
         changes: readonly FieldChange[],
@@ -35,11 +34,11 @@
         return { editId: editId ?? randomUUID(), baseVersion, changes: changes.map(convertChange) };
     }
 
-    /** Hands an edit in and prints its result. */
+    /** Submits an edit and prints its result. */
     protected async submitEdit(client: EntryClient, edit: Omit<TreeEdit, "author">): Promise<ExitCode> {
         const { status, value } = await this.query(client, "POST", `${TREE_PATH}/edits`, edit);
         const reply = value as EditReply;
-        const format = editFormats[reply.kind] as ((reply: EditReply) => string) | undefined;
+        const format = editFormatters[reply.kind] as ((reply: EditReply) => string) | undefined;
         if (format === undefined) {
             throw buildFailure(status, value);
         }
@@ -47,18 +46,18 @@
             ...reply,
             editId: edit.editId,
         });
-        return editCodes[reply.kind];
+        return editExitCodes[reply.kind];
     }
 }
 
-/** JSON has no undefined: a change without a value is one that removes. */
+/** Omits an undefined value, since JSON has no undefined: a change without a value removes the field. */
 function convertChange({ path, field, value }: FieldChange): FieldChange {
     return value === undefined ? { path, field } : { path, field, value };
 }
 
 type ReplyOf<Kind extends EditReply["kind"]> = Extract<EditReply, { readonly kind: Kind; }>;
 
-const editFormats: { readonly [Kind in EditReply["kind"]]: (reply: ReplyOf<Kind>) => string; } = {
+const editFormatters: { readonly [Kind in EditReply["kind"]]: (reply: ReplyOf<Kind>) => string; } = {
     accepted: ({ version, inForce }) =>
         `accepted: version ${version} is in force on all ${inForce.length} entries`,
     written: ({ version, inForce, missing }) =>
@@ -77,9 +76,9 @@
     uncertain: ({ message, retryAfterMs }) => `${message} (in ${retryAfterMs} ms or later)`,
 };
 
-const editCodes: Readonly<Record<EditReply["kind"], ExitCode>> = {
-    accepted: ExitCode.fine,
-    written: ExitCode.fine,
+const editExitCodes: Readonly<Record<EditReply["kind"], ExitCode>> = {
+    accepted: ExitCode.success,
+    written: ExitCode.success,
     conflict: ExitCode.failed,
     invalid: ExitCode.usage,
     unavailable: ExitCode.failed,
@@ -87,8 +86,8 @@
 };
 
 /**
- * Parses changes as they are written on the command line.
- * @param texts - Such as `batch/rebuild:queueLimit=20` or `batch/rebuild:queueLimit=inherit`.
+ * Parses changes given on the command line.
+ * @param texts - For example `batch/rebuild:queueLimit=20` or `batch/rebuild:queueLimit=inherit`.
  */
 export function parseChanges(texts: readonly string[]): readonly FieldChange[] {
     return texts.map(parseChange);
@@ -102,14 +101,14 @@
         throw new UsageError(
             `${
                 JSON.stringify(text)
-            } is no change: write BRANCH:FIELD=VALUE, such as batch/rebuild:queueLimit=20; ` +
+            } is not a change: write BRANCH:FIELD=VALUE, such as batch/rebuild:queueLimit=20; ` +
                 "the root's path is empty, as in :cell.freshMs=3000",
         );
     }
-    return { path, field, value: value === INHERIT ? undefined : parseValue(value) };
+    return { path, field, value: value === INHERIT_KEYWORD ? undefined : parseValue(value) };
 }
 
-/** A value is JSON; a word that is no JSON stands for itself, so that words need no quotes in a shell. */
+/** Parses a value as JSON. Other text is taken as a string, so that strings need no quotes in a shell. */
 function parseValue(text: string): unknown {
     try {
         return JSON.parse(text);
@@ -119,10 +118,7 @@
     }
 }
 
-/**
- * Ends the command unless a tree file is valid.
- * @param faults - Its faults.
- */
+/** Ends the command with the faults of an invalid tree file. */
 export function throwFaults(faults: Parameters<typeof formatFaults>[0]): never {
     throw new CommandFailure(ExitCode.usage, formatFaults(faults), { faults });
 }
--- a/src/command/tree-diff-command.ts
+++ b/src/command/tree-diff-command.ts
@@ -1,4 +1,4 @@
-/** `tree diff`: what a file would change. */
+/** `tree diff`: shows what a file would change. */
 import { Command, Option } from "clipanion";
 import { compareTrees, getField, parseTreeFile, type RootNode } from "../version/index.js";
 import type { EntryClient } from "./entry-client.js";
@@ -6,7 +6,7 @@
 import { formatChanges } from "./format.js";
 import { throwFaults, TreeCommand } from "./tree-command.js";
 
-/** Compares the tree in force with a file. */
+/** Compares the current tree with a file. */
 export class TreeDiffCommand extends TreeCommand {
     static override paths = [["tree", "diff"]];
     static override usage = Command.Usage({
@@ -28,6 +28,6 @@
             .map(change => ({ ...change, before: getField(root, change.path, change.field) }));
         const text = changes.length === 0 ? "no difference" : formatChanges(changes);
         this.print(`against version ${version}:\n${text}`, { version, changes });
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
--- a/src/command/tree-effective-command.ts
+++ b/src/command/tree-effective-command.ts
@@ -1,4 +1,4 @@
-/** `tree effective`: the settings in force for a branch. */
+/** `tree effective`: prints the effective settings of a branch. */
 import { Command, Option } from "clipanion";
 import type { EffectiveValue } from "../process/operator-gateway.js";
 import type { EntryClient } from "./entry-client.js";
@@ -6,12 +6,12 @@
 import { formatJsonValue, formatTable } from "./format.js";
 import { TREE_PATH, TreeCommand } from "./tree-command.js";
 
-/** Prints every value in force for a branch, with where it comes from. */
+/** Prints every effective value of a branch with its origin. */
 export class TreeEffectiveCommand extends TreeCommand {
     static override paths = [["tree", "effective"]];
     static override usage = Command.Usage({
         category: "Settings tree",
-        description: "print the settings in force for a branch and where each comes from",
+        description: "print the effective settings of a branch and where each comes from",
         examples: [
             ["Print those of a branch", "$0 tree effective services/catalogo-beni"],
             ["Print those of the root and the cell", "$0 tree effective"],
@@ -26,6 +26,6 @@
         const { values } = value as { readonly values: readonly EffectiveValue[]; };
         const rows = values.map(each => [each.field, formatJsonValue(each.value), each.origin || "(root)"]);
         this.print(formatTable([["FIELD", "VALUE", "FROM"], ...rows]), values);
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
--- a/src/command/tree-get-command.ts
+++ b/src/command/tree-get-command.ts
@@ -1,4 +1,4 @@
-/** `tree get`: the tree in force. */
+/** `tree get`: prints the current tree. */
 import { Command, Option } from "clipanion";
 import type { TreeNode } from "../version/index.js";
 import { CommandFailure } from "./base-command.js";
@@ -6,14 +6,14 @@
 import { ExitCode } from "./exit-code.js";
 import { TreeCommand } from "./tree-command.js";
 
-/** Prints the tree, or one branch of it, as JSON. */
+/** Prints the current tree, or one branch with its descendants, as JSON. */
 export class TreeGetCommand extends TreeCommand {
     static override paths = [["tree", "get"]];
     static override usage = Command.Usage({
         category: "Settings tree",
         description: "print the tree in force as JSON",
         details:
-            "The version goes to standard error, so that the output can be edited and given to `tree set --file`.",
+            "The version is printed to standard error, so that the output can be edited and passed to `tree set --file`.",
         examples: [
             ["Print the whole tree", "$0 tree get"],
             ["Print one branch with those below it", "$0 tree get batch/season-rebuild"],
@@ -32,7 +32,7 @@
         if (!this.json) {
             this.context.stderr.write(`version ${version}\n`);
         }
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
 
--- a/src/command/tree-history-command.ts
+++ b/src/command/tree-history-command.ts
@@ -1,4 +1,4 @@
-/** `tree history`: the last edits. */
+/** `tree history`: prints the latest edits. */
 import { Command, Option, UsageError } from "clipanion";
 import type { EditRecord } from "../process/operator-gateway.js";
 import type { EntryClient } from "./entry-client.js";
@@ -8,7 +8,7 @@
 
 const DEFAULT_LIMIT = "20";
 
-/** Prints the last edits, the newest first. */
+/** Prints the latest edits, newest first. */
 export class TreeHistoryCommand extends TreeCommand {
     static override paths = [["tree", "history"]];
     static override usage = Command.Usage({
@@ -17,7 +17,7 @@
         examples: [["Print the last five", "$0 tree history --limit 5"]],
     });
 
-    limit = Option.String("--limit", DEFAULT_LIMIT, { description: "Most edits to print" });
+    limit = Option.String("--limit", DEFAULT_LIMIT, { description: "Maximum number of edits to print" });
 
     protected override async runWith(client: EntryClient): Promise<ExitCode> {
         if (!/^[1-9]\d{0,3}$/.test(this.limit)) {
@@ -28,7 +28,7 @@
         const value = await this.require(client, "GET", `${TREE_PATH}/history?limit=${this.limit}`);
         const { edits } = value as { readonly edits: readonly EditRecord[]; };
         this.print(edits.length === 0 ? "no edits" : edits.map(formatEdit).join("\n"), edits);
-        return ExitCode.fine;
+        return ExitCode.success;
     }
 }
 
--- a/src/command/tree-set-command.ts
+++ b/src/command/tree-set-command.ts
@@ -1,4 +1,4 @@
-/** `tree set`: an edit of the tree. */
+/** `tree set`: edits the tree. */
 import { Command, Option, UsageError } from "clipanion";
 import type { FieldChange } from "../process/operator-gateway.js";
 import { compareTrees, parseTreeFile, type RootNode } from "../version/index.js";
@@ -6,7 +6,7 @@
 import { ExitCode } from "./exit-code.js";
 import { parseChanges, throwFaults, TreeCommand } from "./tree-command.js";
 
-/** Edits the tree. */
+/** Edits single fields of the tree, or replaces the tree with the content of a file. */
 export class TreeSetCommand extends TreeCommand {
     static override paths = [["tree", "set"]];
     static override usage = Command.Usage({
@@ -14,11 +14,11 @@
         description: "edit the tree",
         details: `
             Changes single fields, or with \`--file\` whatever differs between the tree in force and a file. The edit
-            is checked whole before it is written; edits of others made meanwhile are merged, and where both
-            changed the same field the conflict is shown with all values.
+            is checked as a whole before it is written. Concurrent edits are merged; where both changed the same
+            field, the conflict is shown with all values.
 
-            If the answer says that nobody knows whether it was written, send it again with the \`--edit-id\` that
-            was printed: it is never made twice.
+            If the answer says that the outcome is uncertain, send the edit again with the \`--edit-id\` that was
+            printed: it is never applied twice.
         `,
         examples: [
             ["Set a field of a branch", "$0 tree set batch/season-rebuild:queueLimit=2000"],
@@ -33,31 +33,31 @@
     });
 
     file = Option.String("--file", { description: "File with a whole tree" });
-    editId = Option.String("--edit-id", { description: "Id of an edit that is sent again" });
+    editId = Option.String("--edit-id", { description: "Id of an edit that is being sent again" });
     base = Option.String("--base", {
-        description: "Version that the edit is made from; the one in force if left out",
+        description: "Version that the edit is based on; defaults to the current one",
     });
     changes = Option.Rest({ name: "BRANCH:FIELD=VALUE" });
 
     protected override async runWith(client: EntryClient): Promise<ExitCode> {
         if ((this.file === undefined) === (this.changes.length === 0)) {
-            throw new UsageError("name changes as BRANCH:FIELD=VALUE, or a file by --file, and not both");
+            throw new UsageError("specify either changes as BRANCH:FIELD=VALUE or a file with --file");
         }
-        const named = parseChanges(this.changes);
+        const namedChanges = parseChanges(this.changes);
         const { version, tree } = await this.readTree(client);
         const changes = this.file === undefined ?
-            named :
+            namedChanges :
             await this.compareWithFile(this.file, tree as RootNode);
         if (changes.length === 0) {
             this.print(`nothing to change: the file is the tree of version ${version}`, {
                 kind: "unchanged",
                 version,
             });
-            return ExitCode.fine;
+            return ExitCode.success;
         }
         return await this.submitEdit(
             client,
-            this.buildEdit(changes, parseBase(this.base) ?? version, this.editId),
+            this.buildEdit(changes, parseBaseVersion(this.base) ?? version, this.editId),
         );
     }
 
@@ -67,7 +67,7 @@
     }
 }
 
-function parseBase(text: string | undefined): number | undefined {
+function parseBaseVersion(text: string | undefined): number | undefined {
     if (text === undefined) {
         return undefined;
     }
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,7 +1,7 @@
 /**
- * The clock type of this project. Every duration and instant is a number of milliseconds.
+ * Time source, timers and timeouts. Every duration and instant is a number of milliseconds.
  *
- * @remarks Instants come from a monotonic clock: they never jump and mean nothing outside the process.
+ * @remarks Instants come from a monotonic clock: they never jump and have no meaning outside the process.
  * Wall-clock time appears only in logs and in records that people read.
  */
 
@@ -10,19 +10,19 @@
 
 /** A pending call made by {@link Clock.schedule}. */
 export interface Timer {
-    /** Prevents the call if it has not happened yet; harmless otherwise. */
+    /** Prevents the call if it has not happened yet; has no effect otherwise. */
     cancel(): void;
 }
 
-/** Source of time for one process. Tests pass a fake one. */
+/** Time source of one process. Tests use a fake one. */
 export interface Clock {
     /**
      * Reads the monotonic clock.
-     * @returns Milliseconds since an arbitrary start; never falls.
+     * @returns Milliseconds since an arbitrary start; never decreases.
      */
     now(): Millis;
     /**
-     * Reads the wall clock, for logs and records that people read; never for a decision.
+     * Reads the wall clock. Only for logs and records that people read, never for decisions.
      * @returns Milliseconds since the Unix epoch.
      */
     wallNow(): Millis;
@@ -41,7 +41,7 @@
     wallNow: () => Date.now(),
     schedule(delay, callback) {
         if (delay <= 0) {
-            // A timer of zero would wait for a millisecond, which each routed request would pay.
+            // `setTimeout` waits for at least a millisecond, which each routed request would pay.
             const immediate = setImmediate(callback);
             return { cancel: () => clearImmediate(immediate) };
         }
@@ -50,12 +50,7 @@
     },
 };
 
-/**
- * Waits on a clock.
- * @param clock - Where time comes from.
- * @param delay - Milliseconds to wait.
- * @returns A promise that resolves after the delay.
- */
+/** Returns a promise that resolves after a delay in milliseconds. */
 export function sleep(clock: Clock, delay: Millis): Promise<void> {
     return new Promise(resolve => {
         clock.schedule(delay, resolve);
@@ -63,12 +58,10 @@
 }
 
 /**
- * Calls back once a delay has passed and what had arrived by then has been read.
+ * Calls back once a delay has passed and the input that had arrived by then has been read.
  *
- * @remarks Failure guarded against: a process whose processor is full runs the timers that are due before it reads its
- * sockets. A timeout then gives up a call whose answer has long arrived, and the call is made again, which takes more of the
- * processor still.
- * @param clock - Where time comes from.
+ * @remarks An overloaded process runs its due timers before it reads its sockets. A plain timer would then
+ * time out a call whose answer has already arrived, and the repeated call would add to the load.
  * @param delay - Milliseconds to wait.
  * @param callback - Runs on the event loop; must not throw.
  * @returns A handle that cancels the call.
@@ -80,11 +73,7 @@
     return { cancel: () => timer.cancel() };
 }
 
-/**
- * Waits like {@link scheduleTimeout}.
- * @param clock - Where time comes from.
- * @param delay - Milliseconds to wait.
- */
+/** Returns a promise that resolves when {@link scheduleTimeout} would call back. */
 export function waitForTimeout(clock: Clock, delay: Millis): Promise<void> {
     return new Promise(resolve => {
         scheduleTimeout(clock, delay, resolve);
--- a/src/common/lateness.ts
+++ b/src/common/lateness.ts
@@ -1,73 +1,73 @@
-/** Tells how late a process is, so that it does not take its own lateness for the silence of others. */
+/** Measures the timer delay of a process, so that it does not mistake its own delay for a silent peer. */
 import type { Clock, Millis, Timer } from "./clock.js";
 
 const TICK_MS: Millis = 50;
-/** A tick that is late by more than this shows that the process did nothing of its own for as long. */
+/** A tick that is delayed by more than this shows that the process was unresponsive for that time. */
 const TOLERANCE_MS: Millis = 50;
-/** Time in which the weight of a lateness in the mean falls to about a third. */
-const MEAN_OVER_MS: Millis = 700;
-/** Ticks over which lateness is remembered. */
-const REMEMBERED_TICKS = 20;
+/** Time constant of the exponential mean: the weight of a sample falls to about a third in this time. */
+const MEAN_TIME_CONSTANT_MS: Millis = 700;
+/** Number of recent ticks over which the maximum lateness is taken. */
+const RECENT_TICKS = 20;
 
-/** How late a process is. */
+/** How far the timers of a process are delayed. */
 export interface Lateness {
-    /** Returns how late a timer fired at most within the last second or so; what is late now counts too. */
+    /** Returns the maximum timer delay over about the last second, including a timer that is overdue now. */
     getLatenessMs(): Millis;
-    /** Returns by how much timers are late on the mean; times long past weigh less and less. */
+    /** Returns the exponentially weighted mean of the timer delay. */
     getMeanLatenessMs(): Millis;
 }
 
-/** Timers of a process with processor time to spare are less late than this. */
-const LATE_MS: Millis = 100;
+/** Timers of a process with spare processor time are delayed by less than this. */
+const LATE_THRESHOLD_MS: Millis = 100;
 
-/** Tells whether a process has no processor time to spare. */
+/** Returns whether a process has no spare processor time. */
 export function isLate(lateness: Lateness): boolean {
-    return lateness.getLatenessMs() >= LATE_MS;
+    return lateness.getLatenessMs() >= LATE_THRESHOLD_MS;
 }
 
-/** A process that is always on time. */
+/** Lateness of a process whose timers are never delayed. */
 export const ON_TIME: Lateness = { getLatenessMs: () => 0, getMeanLatenessMs: () => 0 };
 
 /**
  * Measures the delay of timers.
  *
- * @remarks Timers that are due run before arrived answers are read, so a timer alone cannot tell a silent party from a late
- * process. Attentive time stands still while the process is late.
+ * @remarks Due timers run before answers that have arrived are read, so a timer alone cannot distinguish a
+ * silent peer from a delayed process. Responsive time does not advance while the process is delayed.
  */
 export class LatenessMeter implements Lateness {
-    private readonly recent: Millis[] = [];
+    private readonly recentLateness: Millis[] = [];
     private meanMs: Millis = 0;
-    private attentiveMs: Millis = 0;
-    private tickedAt: Millis;
+    private responsiveMs: Millis = 0;
+    private lastTickAt: Millis;
     private timer: Timer;
 
-    /** @param clock - Whose timers are watched. */
+    /** @param clock - The clock whose timers are measured. */
     constructor(private readonly clock: Clock) {
-        this.tickedAt = clock.now();
+        this.lastTickAt = clock.now();
         this.timer = this.scheduleTick();
     }
 
-    /** Returns an instant that advances only while this process is able to hear others. */
-    getAttentiveMs(): Millis {
-        return this.attentiveMs + this.getAttentiveSinceTick();
+    /** Returns the time, in milliseconds, during which this process was able to receive messages. */
+    getResponsiveMs(): Millis {
+        return this.responsiveMs + this.getResponsiveSinceTick();
     }
 
     getLatenessMs(): Millis {
-        const overdue = this.clock.now() - this.tickedAt - TICK_MS;
-        return Math.max(0, overdue, ...this.recent);
+        const overdue = this.clock.now() - this.lastTickAt - TICK_MS;
+        return Math.max(0, overdue, ...this.recentLateness);
     }
 
     getMeanLatenessMs(): Millis {
         return this.meanMs;
     }
 
-    /** Ends the measurement. */
+    /** Stops the measurement. */
     close(): void {
         this.timer.cancel();
     }
 
-    private getAttentiveSinceTick(): Millis {
-        return Math.min(this.clock.now() - this.tickedAt, TICK_MS + TOLERANCE_MS);
+    private getResponsiveSinceTick(): Millis {
+        return Math.min(this.clock.now() - this.lastTickAt, TICK_MS + TOLERANCE_MS);
     }
 
     private scheduleTick(): Timer {
@@ -76,15 +76,15 @@
 
     private observeTick(): void {
         const now = this.clock.now();
-        this.attentiveMs += this.getAttentiveSinceTick();
-        const elapsed = now - this.tickedAt;
+        this.responsiveMs += this.getResponsiveSinceTick();
+        const elapsed = now - this.lastTickAt;
         const lateness = Math.max(0, elapsed - TICK_MS);
-        this.meanMs += (lateness - this.meanMs) * (1 - Math.exp(-elapsed / MEAN_OVER_MS));
-        this.recent.push(lateness);
-        if (this.recent.length > REMEMBERED_TICKS) {
-            this.recent.shift();
+        this.meanMs += (lateness - this.meanMs) * (1 - Math.exp(-elapsed / MEAN_TIME_CONSTANT_MS));
+        this.recentLateness.push(lateness);
+        if (this.recentLateness.length > RECENT_TICKS) {
+            this.recentLateness.shift();
         }
-        this.tickedAt = now;
+        this.lastTickAt = now;
         this.timer = this.scheduleTick();
     }
 }
--- a/src/common/outcome.ts
+++ b/src/common/outcome.ts
@@ -1,22 +1,20 @@
-/**
- * How a request or task ended. The same words stand in the callers' interface, the logs and the metrics.
- */
+/** Outcomes of requests and tasks. The callers' interface, the logs and the metrics use the same terms. */
 
-/** The kinds of outcome, as constants. */
+/** Kinds of outcome. */
 export const OutcomeKind = {
-    /** It ran once and gave its whole answer. */
+    /** It ran once and returned its complete answer. */
     done: "done",
-    /** It ran and failed; the worker said so. */
+    /** It ran and failed, as reported by the worker. */
     failed: "failed",
-    /** It did not run, and that is proved: never sent, or refused by the worker. */
+    /** It provably did not run: it was never sent, or the worker refused it. */
     notRun: "notRun",
-    /** It was sent or about to be sent, and nobody can tell whether it ran. It is never started again. */
+    /** It was sent or about to be sent, and whether it ran is unknown. It is never started again. */
     mayHaveRun: "mayHaveRun",
-    /** Its caller cancelled it. */
+    /** It was cancelled by its caller. */
     cancelled: "cancelled",
 } as const;
 
-/** Why work that did not run was given up. */
+/** Reasons for which work did not run. */
 export const NotRunReason = {
     overloaded: "overloaded",
     deadline: "deadline",
@@ -38,7 +36,7 @@
 export type Outcome =
     | {
         readonly kind: "done";
-        /** The whole answer of the worker, as bytes. */
+        /** The complete answer of the worker. */
         readonly answer: Uint8Array;
         /** Media type of the answer. */
         readonly contentType: string;
@@ -47,34 +45,33 @@
     }
     | {
         readonly kind: "failed";
-        /** What the worker said. */
+        /** Error message of the worker. */
         readonly message: string;
         readonly workerId: string;
     }
     | {
         readonly kind: "notRun";
         readonly reason: NotRunReason;
-        /** What the caller can do, in words. */
+        /** What the caller can do, as text. */
         readonly remedy: string;
-        /** When asking again is worthwhile, in milliseconds from now; undefined where it never is. */
+        /** Time in milliseconds after which a retry is worthwhile; undefined if it never is. */
         readonly retryAfterMs?: number;
     }
     | {
         readonly kind: "mayHaveRun";
-        /** Why nobody can tell. */
+        /** Why it is unknown whether the work ran. */
         readonly message: string;
     }
     | {
         readonly kind: "cancelled";
-        /** Whether it had started before it was cancelled. */
+        /** Whether the work had started before it was cancelled. */
         readonly started: boolean;
     };
 
 /**
- * Builds the outcome of work that is proved not to have run.
- * @param reason - Why it was given up.
- * @param remedy - What the caller can do, in words.
- * @param retryAfterMs - When asking again is worthwhile, in milliseconds; leave out where it never is.
+ * Builds the outcome of work that provably did not run.
+ * @param remedy - What the caller can do, as text.
+ * @param retryAfterMs - Time in milliseconds after which a retry is worthwhile; omit it if it never is.
  */
 export function buildNotRun(reason: NotRunReason, remedy: string, retryAfterMs?: number): Outcome {
     return { kind: "notRun", reason, remedy, retryAfterMs };
--- a/src/common/random.ts
+++ b/src/common/random.ts
@@ -1,4 +1,4 @@
-/** Random numbers from a seeded generator, so that equal seeds give equal decisions. */
+/** Seeded random numbers: equal seeds give equal decisions. */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
@@ -6,10 +6,10 @@
 export interface Random {
     /**
      * @param bound - Exclusive upper bound, at least 1.
-     * @returns A whole number from 0 to `bound - 1`, evenly spread.
+     * @returns An integer from 0 to `bound - 1`, uniformly distributed.
      */
     pickInt(bound: number): number;
-    /** @returns A number from 0 (inclusive) to 1 (exclusive). */
+    /** @returns A number from 0 (inclusive) to 1 (exclusive), uniformly distributed. */
     pickFraction(): number;
 }
 
@@ -17,8 +17,8 @@
 
 /**
  * Creates a seeded random source (xoroshiro128+).
- * @param seed - Any 32-bit whole number.
- * @returns A source that gives the same sequence for the same seed.
+ * @param seed - Any 32-bit integer.
+ * @returns A source that produces the same sequence for the same seed.
  */
 export function createRandom(seed: number): Random {
     const generator = xoroshiro128plus(seed);
@@ -29,8 +29,7 @@
 }
 
 /**
- * Makes an identifier that no other process makes, with overwhelming probability.
- * @param random - The random source of the process.
+ * Makes an identifier that is unique across processes with overwhelming probability.
  * @returns 20 lower-case letters and digits (about 103 bits).
  */
 export function makeUniqueId(random: Random): string {
--- a/src/common/resources.ts
+++ b/src/common/resources.ts
@@ -1,8 +1,8 @@
-/** What a task needs of a worker and what a worker has, as whole numbers so that sums are exact. */
+/** Resources that tasks demand and workers have, as integers so that sums are exact. */
 
-/** An amount of each resource that is handed out. */
+/** An amount of each resource that workers allocate to tasks. */
 export interface Resources {
-    /** Thousandths of a processor. */
+    /** Thousandths of a processor core. */
     readonly cpuMillis: number;
     /** Mebibytes of memory. */
     readonly memoryMib: number;
@@ -13,10 +13,7 @@
 /** No resources. */
 export const NO_RESOURCES: Resources = { cpuMillis: 0, memoryMib: 0, accelerators: 0 };
 
-/**
- * Adds two amounts.
- * @returns The sum, dimension by dimension.
- */
+/** Adds two amounts in each dimension. */
 export function addResources(left: Resources, right: Resources): Resources {
     return {
         cpuMillis: left.cpuMillis + right.cpuMillis,
@@ -25,10 +22,7 @@
     };
 }
 
-/**
- * Takes one amount from another.
- * @returns The difference, which may be negative in a dimension.
- */
+/** Subtracts `right` from `left` in each dimension; the result may be negative. */
 export function removeResources(left: Resources, right: Resources): Resources {
     return {
         cpuMillis: left.cpuMillis - right.cpuMillis,
@@ -37,13 +31,9 @@
     };
 }
 
-/**
- * Tells whether a need fits into what is free, in every dimension.
- * @param need - What is asked for.
- * @param free - What is left.
- */
-export function isWithin(need: Resources, free: Resources): boolean {
-    return need.cpuMillis <= free.cpuMillis &&
-        need.memoryMib <= free.memoryMib &&
-        need.accelerators <= free.accelerators;
+/** Returns whether a demand fits into the free amount in every dimension. */
+export function isWithin(demand: Resources, free: Resources): boolean {
+    return demand.cpuMillis <= free.cpuMillis &&
+        demand.memoryMib <= free.memoryMib &&
+        demand.accelerators <= free.accelerators;
 }
--- a/src/common/signal.ts
+++ b/src/common/signal.ts
@@ -1,18 +1,18 @@
-/** Something that several parties wait for and that happens once. */
+/** A one-shot notification for any number of waiters. */
 
-/** The signal; see the module comment. */
+/** An event that happens at most once and that several parties can wait for. */
 export class Signal {
     private settle: () => void = () => undefined;
-    private readonly happened = new Promise<void>(resolve => {
+    private readonly notified = new Promise<void>(resolve => {
         this.settle = resolve;
     });
 
-    /** Resolves once it has happened; at once if it has. */
+    /** Resolves when the event happens, or immediately if it already has. */
     wait(): Promise<void> {
-        return this.happened;
+        return this.notified;
     }
 
-    /** Lets all who wait go on. */
+    /** Marks the event as happened and resolves all waits; further calls have no effect. */
     notify(): void {
         this.settle();
     }
--- a/src/docs/json-schema.ts
+++ b/src/docs/json-schema.ts
@@ -1,7 +1,7 @@
-/** JSON Schemas of the settings files, for editors. */
+/** Generation of JSON Schemas for the settings files; editors validate with them. */
 import { z } from "zod";
 
-/** A JSON Schema, as far as the reference pages read it. */
+/** The parts of a JSON Schema that the reference pages use. */
 export interface JsonSchema {
     readonly $ref?: string;
     readonly type?: string;
@@ -16,10 +16,8 @@
 }
 
 /**
- * Builds the JSON Schema of a settings file.
- * @param schema - Its schema.
- * @param title - Title of the document.
- * @param io - `input` for a file that people write, where fields with a default may be left out.
+ * Builds the JSON Schema of a settings file. It describes the input form, in which fields with a default are
+ * optional.
  */
 export function buildJsonSchema(schema: z.ZodType, title: string): JsonSchema & { readonly title: string; } {
     const json = z.toJSONSchema(schema, { io: "input", unrepresentable: "any" }) as JsonSchema;
--- a/src/docs/main.ts
+++ b/src/docs/main.ts
@@ -1,4 +1,4 @@
-/** Writes the generated pages: `npm run docs`. */
+/** Entry point of `npm run docs`: writes the generated pages. */
 import { writeFileSync } from "node:fs";
 import { renderPages } from "./pages.js";
 
--- a/src/docs/reference-page.ts
+++ b/src/docs/reference-page.ts
@@ -1,77 +1,77 @@
-/** Renders reference pages from JSON Schemas and tables. */
+/** Renders the field tables of the reference pages from JSON Schemas. */
 import type { JsonSchema } from "./json-schema.js";
 
-/** One row of a reference table. */
+/** A row of a field table, with its cells as Markdown. */
 interface FieldRow {
     readonly field: string;
     readonly allowed: string;
-    readonly fallback: string;
-    readonly about: string;
+    readonly defaultText: string;
+    readonly meaning: string;
 }
 
 /**
- * Renders a table of all fields below an object.
- * @param schema - Schema of the object.
- * @param fallbacks - Defaults by dotted name, where the schema has none.
+ * Renders a Markdown table of all fields of an object, nested ones included.
+ * @param defaults - Defaults by dotted name, for fields whose schema has none.
  */
 export function renderFieldTable(
     schema: JsonSchema,
-    fallbacks: ReadonlyMap<string, unknown> = new Map(),
+    defaults: ReadonlyMap<string, unknown> = new Map(),
 ): string {
-    const rows = listRows(schema, "", fallbacks);
+    const rows = listRows(schema, "", defaults);
     return [
         "| field | allowed | default | meaning |",
         "|---|---|---|---|",
-        ...rows.map(row => `| \`${row.field}\` | ${row.allowed} | ${row.fallback} | ${row.about} |`),
+        ...rows.map(row => `| \`${row.field}\` | ${row.allowed} | ${row.defaultText} | ${row.meaning} |`),
     ].join("\n");
 }
 
 function listRows(
     schema: JsonSchema,
     prefix: string,
-    fallbacks: ReadonlyMap<string, unknown>,
+    defaults: ReadonlyMap<string, unknown>,
 ): readonly FieldRow[] {
     return Object.entries(schema.properties ?? {}).flatMap(([name, part]) => {
         const field = `${prefix}${name}`;
         const isRequired = schema.required?.includes(name) ?? false;
-        return [makeRow(field, part, isRequired, fallbacks), ...listParts(field, part, fallbacks)];
+        return [makeRow(field, part, isRequired, defaults), ...listNestedRows(field, part, defaults)];
     });
 }
 
-function listParts(
+function listNestedRows(
     field: string,
     schema: JsonSchema,
-    fallbacks: ReadonlyMap<string, unknown>,
+    defaults: ReadonlyMap<string, unknown>,
 ): readonly FieldRow[] {
     if (schema.properties !== undefined) {
-        return listRows(schema, `${field}.`, fallbacks);
+        return listRows(schema, `${field}.`, defaults);
     }
-    return schema.items?.properties === undefined ? [] : listRows(schema.items, `${field}[].`, fallbacks);
+    return schema.items?.properties === undefined ? [] : listRows(schema.items, `${field}[].`, defaults);
 }
 
 function makeRow(
     field: string,
     schema: JsonSchema,
     isRequired: boolean,
-    fallbacks: ReadonlyMap<string, unknown>,
+    defaults: ReadonlyMap<string, unknown>,
 ): FieldRow {
-    const fallback = schema.default ?? fallbacks.get(field);
+    const defaultValue = schema.default ?? defaults.get(field);
     return {
         field,
         allowed: formatCell(
             schema.allowed ?? (schema.properties === undefined ? schema.type ?? "" : "an object"),
         ),
-        fallback: formatFallback(fallback, isRequired),
-        about: formatCell(schema.description ?? ""),
+        defaultText: formatDefault(defaultValue, isRequired),
+        meaning: formatCell(schema.description ?? ""),
     };
 }
 
-function formatFallback(fallback: unknown, isRequired: boolean): string {
+function formatDefault(defaultValue: unknown, isRequired: boolean): string {
     if (isRequired) {
         return "required";
     }
-    const isShown = fallback !== undefined && (typeof fallback !== "object" || Array.isArray(fallback));
-    return isShown ? `\`${JSON.stringify(fallback)}\`` : "";
+    const isShown = defaultValue !== undefined &&
+        (typeof defaultValue !== "object" || Array.isArray(defaultValue));
+    return isShown ? `\`${JSON.stringify(defaultValue)}\`` : "";
 }
 
 function formatCell(text: string): string {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** The one program of cactusrack: every role and every command. */
+/** Entry point of the cactusrack program. */
 import { runCommandLine } from "./command/index.js";
 
 void runCommandLine(process.argv.slice(2)).then(code => {
--- a/src/process/entry-gauges.ts
+++ b/src/process/entry-gauges.ts
@@ -1,4 +1,4 @@
-/** The users' measures of an entry as gauges: how full its workers are, what waits, and what control costs. */
+/** Gauges of an entry: utilization of its workers, waiting work, and its own processor and memory use. */
 import type { Clock, Millis } from "../common/clock.js";
 import type { PlacerLoad } from "../connection/messages.js";
 import type { Metrics } from "./telemetry.js";
@@ -7,7 +7,7 @@
 const MICROS_PER_MILLI = 1_000;
 const MEBIBYTE = 2 ** 20;
 
-/** Sends the gauges of one entry, at most once in an interval. */
+/** Sends the gauges of one entry, at most once per {@link INTERVAL_MS}. */
 export class EntryGauges {
     private lastAt = Number.NEGATIVE_INFINITY;
     private lastCpuMicros = 0;
@@ -19,7 +19,7 @@
 
     /**
      * Sends the gauges if they are due.
-     * @param load - The placer's load at this moment.
+     * @param load - Current load of the placer.
      */
     record(load: PlacerLoad): void {
         const now = this.clock.now();
--- a/src/process/entry-settings/entry-schema.ts
+++ b/src/process/entry-settings/entry-schema.ts
@@ -1,4 +1,4 @@
-/** Schema of the settings file of an entry process. */
+/** Schema of the settings file of an entry. */
 import { isIP } from "node:net";
 import { z } from "zod";
 import {
@@ -14,7 +14,7 @@
 const MAX_SECRET_LENGTH = 256;
 const MEBIBYTE = 1_048_576;
 
-/** Levels of the log, from the most to the least told. */
+/** Log levels, from the most to the least verbose. */
 export const LOG_LEVELS = ["debug", "info", "warn", "error"] as const;
 
 function buildIpSchema(about: string, example: string) {
@@ -25,8 +25,8 @@
     });
 }
 
-function buildPortSchema(least: number, about: string) {
-    return buildCountSchema(least, 65_535, about);
+function buildPortSchema(min: number, about: string) {
+    return buildCountSchema(min, 65_535, about);
 }
 
 function isBaseUrl(value: string): boolean {
@@ -97,7 +97,7 @@
         .default(DEFAULT_LIMITS.requestTimeoutMs),
 });
 
-/** Schema of the file. */
+/** Schema of the settings file. */
 export const entrySettingsSchema = z.strictObject({
     memberName: buildTextSchema(
         NAME_PATTERN,
@@ -154,5 +154,5 @@
     }).default([]),
 });
 
-/** Settings of an entry process, complete. */
+/** Settings of an entry process, with defaults filled in. */
 export type EntrySettings = z.infer<typeof entrySettingsSchema>;
--- a/src/process/entry-settings/index.ts
+++ b/src/process/entry-settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry process: the file, its checks and its defaults. */
+/** Settings of an entry process: parsing, validation and defaults. */
 import { type Checked, parseJson, validateBySchema } from "../../version/index.js";
 import type { SettingsFault } from "../operator-gateway.js";
 import { type EntrySettings, entrySettingsSchema } from "./entry-schema.js";
@@ -8,7 +8,7 @@
 /**
  * Parses the text of an entry's settings file.
  * @param text - JSON text.
- * @returns The settings with defaults filled in, or every fault.
+ * @returns The settings with defaults filled in, or all faults.
  */
 export function parseEntrySettings(text: string): Checked<EntrySettings> {
     const parsed = parseJson(text, "entry settings");
@@ -19,28 +19,28 @@
     if (checked.kind === "faults") {
         return checked;
     }
-    const faults = checkTogether(checked.value);
+    const faults = checkAcrossFields(checked.value);
     return faults.length > 0 ? { kind: "faults", faults } : checked;
 }
 
-/** Rules between fields. */
-function checkTogether(settings: EntrySettings): readonly SettingsFault[] {
+/** Checks the rules that involve more than one field. */
+function checkAcrossFields(settings: EntrySettings): readonly SettingsFault[] {
     return [
-        ...checkReachable("peers", settings.peers),
-        ...checkReachable("http", settings.http),
-        ...checkTimes(settings),
+        ...checkAdvertisedHost("peers", settings.peers),
+        ...checkAdvertisedHost("http", settings.http),
+        ...checkTimeouts(settings),
         ...checkOperators(settings),
     ];
 }
 
-const EVERY_INTERFACE = new Set(["0.0.0.0", "::"]);
+const WILDCARD_HOSTS = new Set(["0.0.0.0", "::"]);
 
-/** Without an address of its own in the ownership table, others would dial their own machine. */
-function checkReachable(
+/** A wildcard address in the ownership table would make other members connect to their own host. */
+function checkAdvertisedHost(
     path: string,
     { listen, advertise }: EntrySettings["http"],
 ): readonly SettingsFault[] {
-    if (advertise !== undefined || !EVERY_INTERFACE.has(listen.host)) {
+    if (advertise !== undefined || !WILDCARD_HOSTS.has(listen.host)) {
         return [];
     }
     return [{
@@ -51,7 +51,7 @@
     }];
 }
 
-function checkTimes({ limits }: EntrySettings): readonly SettingsFault[] {
+function checkTimeouts({ limits }: EntrySettings): readonly SettingsFault[] {
     return limits.requestTimeoutMs >= limits.headersTimeoutMs ? [] : [{
         path: "limits.requestTimeoutMs",
         found: `requestTimeoutMs ${limits.requestTimeoutMs} with headersTimeoutMs ${limits.headersTimeoutMs}`,
@@ -61,13 +61,13 @@
 }
 
 function checkOperators({ operators }: EntrySettings): readonly SettingsFault[] {
-    const seen = new Map<string, number>();
+    const indexByToken = new Map<string, number>();
     return operators.flatMap(({ tokenSha256 }, index) => {
-        const other = seen.get(tokenSha256);
-        seen.set(tokenSha256, index);
-        return other === undefined ? [] : [{
+        const earlierIndex = indexByToken.get(tokenSha256);
+        indexByToken.set(tokenSha256, index);
+        return earlierIndex === undefined ? [] : [{
             path: `operators.${index}.tokenSha256`,
-            found: `the token of operators.${other}`,
+            found: `the token of operators.${earlierIndex}`,
             allowed: "a token that no other operator has",
             remedy: "give each operator a token of their own, so that the history tells them apart",
         }];
--- a/src/process/entry.ts
+++ b/src/process/entry.ts
@@ -1,4 +1,4 @@
-/** One entry process: all roles put together over its ports. The program and the tests build it alike. */
+/** Composes the roles of one entry process over its ports, for the program and the tests alike. */
 import type { Clock, Millis, Timer } from "../common/clock.js";
 import { sleep } from "../common/clock.js";
 import type { Random } from "../common/random.js";
@@ -18,26 +18,33 @@
 import { createPlacementCore } from "./placement/index.js";
 import { createPlacerRole, type OwnedPlacerRole } from "./placer/index.js";
 import type { PeerPort, StoreListing, StorePort, VmListPort, WorkerPort } from "./ports/index.js";
-import type { CallerGateway, HeardDigest, HomeRole, Member, RoleContext, SettingsSource } from "./roles.js";
+import type {
+    CallerGateway,
+    HomeRole,
+    Member,
+    ReceivedDigest,
+    RoleContext,
+    SettingsSource,
+} from "./roles.js";
 import { createRouter } from "./router/index.js";
-import { SliceKeeper } from "./slice-keeper.js";
+import { SliceReconciler } from "./slice-reconciler.js";
 import type { StoreClient, WatchHandle } from "./store-client.js";
 import { createStoreClient } from "./store/index.js";
 import type { Log, Metrics } from "./telemetry.js";
 import { createTreeRole, type TreeRole } from "./tree/index.js";
 
-/** Everything that all entries follow in the store lies under this prefix: one watch serves all roles. */
+/** Prefix of all records in the store that every entry follows, so that one watch serves all roles. */
 const CELL_PREFIX = "cell/";
-/** Time between looks at requests in flight while shutting down. */
+/** Interval at which a shutdown checks for requests in flight. */
 const DRAIN_POLL_MS: Millis = 50;
-/** Changes of the workers are told this soon, ahead of the regular digest. */
-const DIGEST_SOON_MS: Millis = 20;
-/** Part of the shutdown time that requests in flight may take; the rest is for handing over. */
+/** Delay of the digest that is sent ahead of the regular one after a change of the workers. */
+const WORKER_CHANGE_DIGEST_DELAY_MS: Millis = 20;
+/** Share of the shutdown time for requests in flight; the rest is for handing slices over. */
 const DRAIN_SHARE = 0.7;
 
-/** What {@link createEntry} is given. */
+/** Options of {@link createEntry}. */
 export interface EntryOptions {
-    /** Identity and addresses; the member id is unique for this life of the process. */
+    /** Identity and addresses; the member id is unique per incarnation of the process. */
     readonly self: Member;
     readonly clock: Clock;
     readonly random: Random;
@@ -47,31 +54,28 @@
     readonly peers: PeerPort;
     readonly workers: WorkerPort;
     readonly vmList: VmListPort;
-    /** Longest time that a shutdown may take. */
+    /** Time limit for {@link Entry.leave}. */
     readonly shutdownMs: Millis;
 }
 
-/** An entry as its program sees it. */
+/** An entry, as the program that runs it sees it. */
 export interface Entry {
     readonly callers: CallerGateway;
     readonly operators: OperatorGateway;
-    /** The settings tree as this entry holds it. */
+    /** The settings tree, as this entry knows it. */
     readonly settings: SettingsSource;
     start(): void;
-    /** Whether the balancer should send callers here. */
+    /** Whether the balancer should route callers to this entry. */
     isReady(): boolean;
-    /** Counts a caller's request that is under way, for the shutdown; returns what ends the count. */
+    /** Counts a caller's request as in flight, for the shutdown; returns a function that ends this. */
     track(): () => void;
-    /** Leaves in order: takes nothing new, finishes what is under way, hands slices over. */
+    /** Shuts down gracefully: accepts no new work, finishes requests in flight, and hands its slices over. */
     leave(): Promise<void>;
-    /** Stops at once, as a crash would. */
+    /** Stops immediately, as a crash would. */
     close(): void;
 }
 
-/**
- * Creates an entry. Nothing runs before `start`.
- * @param options - Identity, ports and tools.
- */
+/** Creates an entry. Nothing runs until {@link Entry.start} is called. */
 export function createEntry(options: EntryOptions): Entry {
     return new EntryProcess(options);
 }
@@ -86,7 +90,7 @@
     private readonly ownership: OwnershipRole;
     private readonly placer: OwnedPlacerRole;
     private readonly home: HomeRole;
-    private readonly keeper: SliceKeeper;
+    private readonly sliceReconciler: SliceReconciler;
     private readonly gauges: EntryGauges;
     private watch: WatchHandle | undefined;
     private digestTimer: Timer | undefined;
@@ -117,7 +121,7 @@
             getCell: () => this.tree.getCurrent()?.cell ?? DEFAULT_CELL,
             listWorkerDomains: () => this.placer.listWorkerDomains(),
             hasWorkers: name => name.kind === SliceKind.worker && this.placer.hasWorkers(name.slice),
-            releaseSlice: name => this.keeper.release(name),
+            releaseSlice: name => this.sliceReconciler.release(name),
         });
         const context: RoleContext = { ...base, settings: this.tree, ownership: this.ownership };
         this.placer = createPlacerRole(context, {
@@ -127,11 +131,11 @@
             findSlice: vm =>
                 findWorkerSlice(this.ownership.getTable()?.workerDomains ?? [], vm.failureDomain, vm.rack),
             isKnownByMajority: revision => this.ownership.isKnownByMajority(revision),
-            handleWorkersChange: () => this.scheduleDigest(DIGEST_SOON_MS),
-            handleFenced: (slice, epoch) => this.keeper.drop(SliceKind.worker, slice, epoch),
+            handleWorkersChange: () => this.scheduleDigest(WORKER_CHANGE_DIGEST_DELAY_MS),
+            handleFenced: (slice, epoch) => this.sliceReconciler.closeFenced(SliceKind.worker, slice, epoch),
         });
         this.home = createHomeRole(context);
-        this.keeper = new SliceKeeper({
+        this.sliceReconciler = new SliceReconciler({
             memberId,
             ownership: this.ownership,
             home: this.home,
@@ -147,7 +151,7 @@
     start(): void {
         this.hub.install(this);
         this.watch = this.store.watch(CELL_PREFIX, {
-            replaceAll: listing => this.acceptListing(listing),
+            replaceAll: listing => this.applyListing(listing),
             applyEvent: (key, value, revision) => {
                 this.tree.applyEvent(key, value, revision);
                 this.ownership.applyEvent(key, value, revision);
@@ -160,8 +164,8 @@
 
     isReady(): boolean {
         const members = this.ownership.listMembers().length;
-        const hearsEnough = this.hub.listReachable().length * 2 >= members;
-        return !this.closed && members > 0 && hearsEnough && this.callers.findRefusal() === undefined;
+        const reachesHalf = this.hub.listReachable().length * 2 >= members;
+        return !this.closed && members > 0 && reachesHalf && this.callers.findRefusal() === undefined;
     }
 
     track(): () => void {
@@ -195,8 +199,8 @@
         this.digestTimer?.cancel();
         this.watch?.stop();
         this.ownership.close();
-        // A slice taken from an entry that leaves at the same time may still be opening: its timers would keep the
-        // process alive for ever.
+        // A slice received from an entry that left at the same time may still be opening, and its timers
+        // would keep the process alive forever.
         this.home.getStatus().slices.forEach(({ slice }) => void this.home.closeSlice(slice, "lost"));
         this.placer.close();
         this.tree.close();
@@ -224,16 +228,16 @@
         }
     }
 
-    receiveNote(from: string, body: NotificationBody): void {
+    receiveNotification(from: string, body: NotificationBody): void {
         if (body.kind === "updates") {
             this.home.receiveUpdates(from, body);
         }
         else {
-            this.placer.receiveNote(from, body);
+            this.placer.receiveNotification(from, body);
         }
     }
 
-    receiveDigest(from: string, heard: HeardDigest): void {
+    receiveDigest(from: string, heard: ReceivedDigest): void {
         this.tree.receiveDigest(from, heard);
         this.ownership.receiveDigest(from, heard);
     }
@@ -250,7 +254,7 @@
         return { kind: "home", reply: await this.home.handleRequest(body.homeSlice, body.request) };
     }
 
-    private acceptListing(listing: StoreListing): void {
+    private applyListing(listing: StoreListing): void {
         this.tree.replaceAll(listing);
         this.ownership.replaceAll(listing);
     }
@@ -262,8 +266,8 @@
             others.map(({ memberId, host, peerPort }) => ({ memberId, host, port: peerPort })),
         );
         const cell = this.tree.getCurrent()?.cell ?? DEFAULT_CELL;
-        const share = Math.max(1, members.length);
-        this.store.setBudget(cell.storeWritesPerSecond / share, cell.storeReadsPerSecond / share);
+        const memberCount = Math.max(1, members.length);
+        this.store.setBudget(cell.storeWritesPerSecond / memberCount, cell.storeReadsPerSecond / memberCount);
     }
 
     private publishDigest(): void {
@@ -276,7 +280,7 @@
         }
     }
 
-    /** Sees to it that a digest goes out within a time; changes that come together share one. */
+    /** Ensures that a digest is sent within `delay`; changes in quick succession share one digest. */
     private scheduleDigest(delay: Millis): void {
         const due = this.options.clock.now() + delay;
         if (this.closed || due >= this.digestDue) {
@@ -298,7 +302,8 @@
             draining: this.draining,
             suspects: this.ownership.failureDetector.listSuspects(),
             slices: this.placer.listSlices(),
-            // Use by team is for this entry's own status: at 410 teams it would make a digest of 300 bytes 23 KB.
+            // Use by team serves only this entry's own status. With 410 teams it would grow a digest from 300
+            // bytes to 23 KB.
             load: { ...load, teamUse: {} },
         };
     }
--- a/src/process/home/log/settle-write.ts
+++ b/src/process/home/log/settle-write.ts
@@ -47,7 +47,7 @@
         if (scope.isStopped()) {
             return { kind: "stopped", mayHaveApplied: isUncertain };
         }
-        const result = await scope.context.store.write({ ...write, patienceMs: ATTEMPT_TIMEOUT_MS });
+        const result = await scope.context.store.write({ ...write, timeoutMs: ATTEMPT_TIMEOUT_MS });
         switch (result.kind) {
             case "done":
                 return { kind: "done", revision: result.revision };
--- a/src/process/home/run/outbox.ts
+++ b/src/process/home/run/outbox.ts
@@ -57,7 +57,7 @@
             this.orders.delete(memberId);
             for (const group of splitOrders(orders)) {
                 const isSent = this.core.mayOrder() &&
-                    this.core.context.peers.note(memberId, { kind: "place", orders: group });
+                    this.core.context.peers.notify(memberId, { kind: "place", orders: group });
                 if (!isSent) {
                     group.forEach(order => handleUnsent(memberId, order));
                 }
@@ -71,7 +71,7 @@
             byMember.delete(memberId);
             for (let start = 0; start < attempts.length; start += MAX_ATTEMPTS_PER_NOTIFICATION) {
                 const part = attempts.slice(start, start + MAX_ATTEMPTS_PER_NOTIFICATION);
-                this.core.context.peers.note(memberId, { kind, homeSlice, attempts: part });
+                this.core.context.peers.notify(memberId, { kind, homeSlice, attempts: part });
             }
         }
     }
@@ -84,7 +84,7 @@
             pushTo(byMember, memberId, attempt);
         }
         for (const [memberId, attempts] of byMember) {
-            this.core.context.peers.note(memberId, { kind: "withdraw", homeSlice, attempts, stop: true });
+            this.core.context.peers.notify(memberId, { kind: "withdraw", homeSlice, attempts, stop: true });
         }
     }
 }
--- a/src/process/home/run/placer-selector.ts
+++ b/src/process/home/run/placer-selector.ts
@@ -47,7 +47,8 @@
         for (const { memberId } of ownership.listMembers()) {
             const received = peers.getDigest(memberId);
             if (
-                received === undefined || received.digest.draining || clock.now() - received.heardAt > freshMs
+                received === undefined || received.digest.draining ||
+                clock.now() - received.receivedAt > freshMs
             ) {
                 continue;
             }
--- a/src/process/journal/guarded-store.ts
+++ b/src/process/journal/guarded-store.ts
@@ -16,7 +16,7 @@
     StoreTransaction,
     TransactionWrite,
 } from "../ports/index.js";
-import { CallTimeout } from "../store/call-timeout.js";
+import { AdaptiveTimeout } from "../store/adaptive-timeout.js";
 import type { Log, Metrics } from "../telemetry.js";
 import { LEADER_KEY } from "./keys.js";
 
@@ -123,7 +123,7 @@
  * the others.
  */
 export class GuardedStore {
-    private readonly hedgeDelay = new CallTimeout(MIN_HEDGE_DELAY_MS);
+    private readonly hedgeDelay = new AdaptiveTimeout(MIN_HEDGE_DELAY_MS);
     private closed = false;
     /** Sending time of the last call that was answered. */
     private lastContact: Millis;
--- a/src/process/journal/journal-reader.ts
+++ b/src/process/journal/journal-reader.ts
@@ -5,7 +5,7 @@
 import type { Clock, Millis } from "../../common/clock.js";
 import { sleep, waitForTimeout } from "../../common/clock.js";
 import type { StoreAnswer, StorePort, StoreRecord } from "../ports/index.js";
-import { CallTimeout } from "../store/call-timeout.js";
+import { AdaptiveTimeout } from "../store/adaptive-timeout.js";
 import type { Log } from "../telemetry.js";
 
 /** Options of {@link JournalReader}. */
@@ -34,7 +34,7 @@
     pieces = 0;
     /** Total length of all values read, in characters. */
     characters = 0;
-    private readonly hedgeDelay = new CallTimeout(MIN_HEDGE_DELAY_MS);
+    private readonly hedgeDelay = new AdaptiveTimeout(MIN_HEDGE_DELAY_MS);
     private inFlight = 0;
     private readonly waiters: (() => void)[] = [];
 
--- a/src/process/node/leadership-term.ts
+++ b/src/process/node/leadership-term.ts
@@ -83,7 +83,7 @@
             log: options.log,
             metrics: options.metrics,
             leaderRevision: claim.revision,
-            getResponsiveMs: () => this.lateness.getAttentiveMs(),
+            getResponsiveMs: () => this.lateness.getResponsiveMs(),
         });
         this.ready = this.open();
     }
--- a/src/process/operator-gateway.ts
+++ b/src/process/operator-gateway.ts
@@ -1,9 +1,9 @@
-/** What operators' interfaces (HTTP and command line) need of the entry: the tree, and read-only status. */
+/** What the operators' interfaces (HTTP and command line) require of an entry: settings tree and status. */
 import type { HomeStatus, Member, WorkerStatus } from "./roles.js";
 
 /** One changed field of an edit. */
 export interface FieldChange {
-    /** Path of the branch; the empty string is the root. */
+    /** Path of the branch; the empty string denotes the root. */
     readonly path: string;
     /** Field within the branch, dotted, such as `queueLimit` or `teams.verona.weight`. */
     readonly field: string;
@@ -13,25 +13,25 @@
 
 /** An edit of the tree. */
 export interface TreeEdit {
-    /** Unique for the edit; repeating it with the same id has no further effect. */
+    /** Unique per edit; sending an edit again with the same id has no further effect. */
     readonly editId: string;
-    /** Version that the edit was made from. */
+    /** Version of the tree that the edit is based on. */
     readonly baseVersion: number;
-    /** Who makes it, for the history. */
+    /** Name of the operator, for the history. */
     readonly author: string;
     readonly changes: readonly FieldChange[];
 }
 
-/** A fault found in settings, with everything needed to mend it. */
+/** A fault in settings or input, with the information needed to correct it. */
 export interface SettingsFault {
-    /** Where, such as `services/catalogo-beni: queueLimit`. */
+    /** Location, such as `services/catalogo-beni: queueLimit`. */
     readonly path: string;
     readonly found: string;
     readonly allowed: string;
     readonly remedy: string;
 }
 
-/** Two edits of the same field. */
+/** Conflicting edits of one field. */
 export interface FieldConflict {
     readonly path: string;
     readonly field: string;
@@ -42,9 +42,9 @@
 
 /** Answer to an edit. */
 export type EditReply =
-    /** In force on every entry that can act. */
+    /** In force on every entry that may act. */
     | { readonly kind: "accepted"; readonly version: number; readonly inForce: readonly string[]; }
-    /** Decided and never to revert, but not yet confirmed by `missing`. */
+    /** Durable and final, but not yet confirmed by the entries in `missing`. */
     | {
         readonly kind: "written";
         readonly version: number;
@@ -53,12 +53,12 @@
     }
     | { readonly kind: "conflict"; readonly version: number; readonly conflicts: readonly FieldConflict[]; }
     | { readonly kind: "invalid"; readonly faults: readonly SettingsFault[]; }
-    /** Surely not written. */
+    /** Certainly not written. */
     | { readonly kind: "unavailable"; readonly message: string; readonly retryAfterMs: number; }
-    /** May have been written: repeat the edit with the same id. */
+    /** Possibly written: send the edit again with the same id. */
     | { readonly kind: "uncertain"; readonly message: string; readonly retryAfterMs: number; };
 
-/** One edit of the history. */
+/** An edit in the history. */
 export interface EditRecord {
     readonly editId: string;
     readonly version: number;
@@ -67,7 +67,7 @@
     readonly changes: readonly (FieldChange & { readonly before?: unknown; })[];
 }
 
-/** A value in force and the branch it comes from. */
+/** A value in force and the branch that sets it. */
 export interface EffectiveValue {
     readonly field: string;
     readonly value: unknown;
@@ -75,7 +75,7 @@
     readonly origin: string;
 }
 
-/** What an edit would change for work that waits now. */
+/** What an edit would change for the work that is currently waiting. */
 export interface DryRunReport {
     readonly faults: readonly SettingsFault[];
     readonly conflicts: readonly FieldConflict[];
@@ -86,19 +86,19 @@
             readonly before: unknown;
             readonly after: unknown;
         }[];
-        /** In words: what it means for waiting work here. */
+        /** Describes the effect on work that is waiting at this entry. */
         readonly effect: string;
     }[];
 }
 
-/** The tree as stored. */
+/** The settings tree as stored. */
 export interface TreeView {
     readonly version: number;
     /** The documents of the tree as JSON. */
     readonly tree: unknown;
 }
 
-/** State of the whole cell as one entry knows it. */
+/** State of the whole cell, as one entry knows it. */
 export interface StatusView {
     readonly memberId: string;
     readonly accepting: boolean;
@@ -121,7 +121,7 @@
     readonly store: Readonly<Record<string, number>>;
 }
 
-/** The operators' view of the settings tree. */
+/** Operations on the settings tree for operators. */
 export interface TreeGateway {
     readTree(): TreeView | undefined;
     editTree(edit: TreeEdit): Promise<EditReply>;
@@ -130,7 +130,7 @@
     checkEdit(edit: TreeEdit): DryRunReport;
 }
 
-/** Everything that operators can ask of an entry. */
+/** All operations that an entry offers to operators. */
 export interface OperatorGateway extends TreeGateway {
     getStatus(): StatusView;
 }
--- a/src/process/ownership/authority.ts
+++ b/src/process/ownership/authority.ts
@@ -9,7 +9,7 @@
  */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
-import type { HeardDigest } from "../roles.js";
+import type { ReceivedDigest } from "../roles.js";
 
 /** Inputs of {@link Authority}. */
 export interface AuthoritySource {
@@ -19,7 +19,7 @@
     /** Members of the current table, including this entry while it is one. */
     listMemberIds(): readonly string[];
     getTableRevision(): number;
-    getDigest(memberId: string): HeardDigest | undefined;
+    getDigest(memberId: string): ReceivedDigest | undefined;
     /** Time at which the last answered call to the store was sent. */
     getLastStoreContact(): Millis | undefined;
 }
@@ -75,7 +75,7 @@
         let agreeing = 1;
         for (const memberId of members) {
             const digest = memberId === this.source.memberId ? undefined : this.source.getDigest(memberId);
-            if (digest === undefined || now - digest.sureAt > cell.freshMs) {
+            if (digest === undefined || now - digest.createdAfter > cell.freshMs) {
                 continue;
             }
             if (this.hasNewerEvidence(digest, leaseEnd)) {
@@ -87,12 +87,12 @@
     }
 
     /** Whether a peer knows a newer table, or reached the store after this entry's lease had ended. */
-    private hasNewerEvidence(received: HeardDigest, leaseEnd: Millis): boolean {
-        const { digest, heardAt } = received;
+    private hasNewerEvidence(received: ReceivedDigest, leaseEnd: Millis): boolean {
+        const { digest, receivedAt } = received;
         if (digest.tableRevision > this.source.getTableRevision()) {
             return true;
         }
-        return digest.storeContactAgeMs >= 0 && heardAt - digest.storeContactAgeMs > leaseEnd;
+        return digest.storeContactAgeMs >= 0 && receivedAt - digest.storeContactAgeMs > leaseEnd;
     }
 }
 
@@ -106,7 +106,7 @@
     base: readonly string[],
     memberId: string,
     revision: number,
-    getDigest: (memberId: string) => HeardDigest | undefined,
+    getDigest: (memberId: string) => ReceivedDigest | undefined,
 ): boolean {
     const aware = base.filter(each =>
         each === memberId || (getDigest(each)?.digest.tableRevision ?? -1) >= revision
--- a/src/process/ownership/failure-detector.ts
+++ b/src/process/ownership/failure-detector.ts
@@ -2,7 +2,7 @@
  * Suspects members whose digests stop arriving. A suspicion is a hint, never a proof that the member stopped.
  */
 import type { Clock, Millis } from "../../common/clock.js";
-import type { HeardDigest } from "../roles.js";
+import type { ReceivedDigest } from "../roles.js";
 
 /** Time without a digest after which a peer is suspected, in digest intervals. */
 const SUSPECT_AFTER_INTERVALS = 8;
@@ -13,7 +13,7 @@
     readonly memberId: string;
     getDigestMs(): Millis;
     listMemberIds(): readonly string[];
-    getDigest(memberId: string): HeardDigest | undefined;
+    getDigest(memberId: string): ReceivedDigest | undefined;
 }
 
 /** Judges members by the age of their last digest. */
@@ -80,9 +80,10 @@
             this.findRecentDigest(memberId) === undefined;
     }
 
-    private findRecentDigest(memberId: string): HeardDigest | undefined {
+    private findRecentDigest(memberId: string): ReceivedDigest | undefined {
         const received = this.source.getDigest(memberId);
-        return received !== undefined && this.source.clock.now() - received.heardAt <= this.getTimeoutMs() ?
+        return received !== undefined &&
+                this.source.clock.now() - received.receivedAt <= this.getTimeoutMs() ?
             received :
             undefined;
     }
--- a/src/process/ownership/member-lease.ts
+++ b/src/process/ownership/member-lease.ts
@@ -93,7 +93,7 @@
                 value: this.options.makeKeyValue(granted.value),
                 expectedRevision: 0,
                 leaseId: granted.value,
-                patienceMs: ttl,
+                timeoutMs: ttl,
                 vital: true,
             });
             // The table is read after the grant: an entry whose old lease lapsed may have lost its slices,
--- a/src/process/ownership/ownership-role.ts
+++ b/src/process/ownership/ownership-role.ts
@@ -5,7 +5,7 @@
 import type { Millis, Timer } from "../../common/clock.js";
 import type { CellSettings } from "../../version/settings.js";
 import type { StoreListing } from "../ports/store-port.js";
-import type { CallResult, HeardDigest, Member, OwnershipView, RoleContext, SliceOwner } from "../roles.js";
+import type { CallResult, Member, OwnershipView, ReceivedDigest, RoleContext, SliceOwner } from "../roles.js";
 import { Authority, isKnownByMajority } from "./authority.js";
 import { FailureDetector } from "./failure-detector.js";
 import { HandoverCoordinator } from "./handover-coordinator.js";
@@ -175,7 +175,7 @@
     }
 
     /** Fetches the table from a peer that holds a newer one, since only this entry's watch may be broken. */
-    receiveDigest(memberId: string, received: HeardDigest): void {
+    receiveDigest(memberId: string, received: ReceivedDigest): void {
         if (received.digest.tableRevision <= this.revision || this.closed) {
             return;
         }
@@ -347,7 +347,7 @@
             key: TABLE_KEY,
             value: text,
             expectedRevision: this.revision,
-            patienceMs: STORE_TIMEOUT_MS,
+            timeoutMs: STORE_TIMEOUT_MS,
             vital: true,
         });
         if (result.kind === "done") {
--- a/src/process/peers/index.ts
+++ b/src/process/peers/index.ts
@@ -1,4 +1,4 @@
-/** Calls, notes and digests between entries. */
+/** Calls, notifications and digests between entries. */
 export {
     createPeerHub,
     type HubListener,
--- a/src/process/peers/peer-hub.ts
+++ b/src/process/peers/peer-hub.ts
@@ -1,4 +1,4 @@
-/** Calls, notes and digests between entries, over any {@link PeerPort}. */
+/** Calls, notifications and digests between entries, over any {@link PeerPort}. */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 import { makeUniqueId, type Random } from "../../common/random.js";
 import {
@@ -11,27 +11,30 @@
     type PeerMessage,
 } from "../../connection/messages.js";
 import type { PeerPort } from "../ports/peer-port.js";
-import type { CallResult, HeardDigest, PeerHub } from "../roles.js";
+import type { CallResult, PeerHub, ReceivedDigest } from "../roles.js";
 import type { Metrics } from "../telemetry.js";
 
-/** Calls under way to one peer at most; more are refused as not sent. */
-const MAX_CALLS_PER_PEER = 10_000;
+/** Maximum number of pending calls to one peer; further ones end as `notSent`. */
+const MAX_PENDING_CALLS_PER_PEER = 10_000;
 
-/** Own digests whose times of sending are remembered; an echo of an older one proves nothing. */
-const MAX_SENT_REMEMBERED = 128;
+/**
+ * Number of own digests whose send times are kept; an echo of an older one gives no information about its
+ * age.
+ */
+const MAX_SEND_TIMES = 128;
 
-/** A digest before the hub adds its echoes. */
+/** A digest of this entry, to which the hub adds the echoes. */
 export type OwnDigest = Omit<DigestMessage, "echoes">;
 
-/** Who handles what arrives. */
+/** Handles incoming messages and link changes. */
 export interface HubListener {
     handleCall(from: string, body: CallBody): Promise<AnswerBody>;
-    receiveNote(from: string, body: NotificationBody): void;
-    receiveDigest(from: string, heard: HeardDigest): void;
+    receiveNotification(from: string, body: NotificationBody): void;
+    receiveDigest(from: string, received: ReceivedDigest): void;
     handleLinkChange(memberId: string, up: boolean): void;
 }
 
-/** What {@link createPeerHub} is given. */
+/** Options of {@link createPeerHub}. */
 export interface PeerHubOptions {
     readonly memberId: string;
     readonly clock: Clock;
@@ -40,35 +43,32 @@
     readonly port: PeerPort;
 }
 
-/** The hub with its own side: who listens, and sending digests. */
+/** The hub as its owner sees it: can also install the listener and publish digests. */
 export interface OwnedPeerHub extends PeerHub {
     install(listener: HubListener): void;
     /** Sends a digest to every member whose link is up. */
     publishDigest(digest: OwnDigest): void;
 }
 
-/**
- * Creates the hub of one entry.
- * @param options - The entry's identity and its port.
- */
+/** Creates the hub of one entry and installs itself as listener of the port. */
 export function createPeerHub(options: PeerHubOptions): OwnedPeerHub {
-    return new Hub(options);
+    return new PortPeerHub(options);
 }
 
 interface PendingCall {
     readonly memberId: string;
     readonly timer: Timer;
-    readonly settle: (result: CallResult) => void;
+    readonly settleCall: (result: CallResult) => void;
 }
 
-class Hub implements OwnedPeerHub {
+class PortPeerHub implements OwnedPeerHub {
     private listener: HubListener | undefined;
-    private readonly reachable = new Set<string>();
-    private readonly digests = new Map<string, HeardDigest>();
-    /** When each of this entry's latest digests was sent. */
-    private readonly sentAt = new Map<number, Millis>();
-    private readonly pending = new Map<string, PendingCall>();
-    private readonly callsByPeer = new Map<string, number>();
+    private readonly reachablePeers = new Set<string>();
+    private readonly digests = new Map<string, ReceivedDigest>();
+    /** Send times of this entry's latest digests, by sequence number. */
+    private readonly sendTimes = new Map<number, Millis>();
+    private readonly pendingCalls = new Map<string, PendingCall>();
+    private readonly pendingCallCounts = new Map<string, number>();
     private readonly callPrefix: string;
     private nextCall = 0;
 
@@ -86,12 +86,12 @@
 
     publishDigest(own: OwnDigest): void {
         const echoes = Object.fromEntries(
-            [...this.digests].map(([memberId, heard]) => [memberId, heard.digest.sequence]),
+            [...this.digests].map(([memberId, received]) => [memberId, received.digest.sequence]),
         );
         const digest = { ...own, echoes };
-        this.recordSent(own.sequence);
+        this.recordSendTime(own.sequence);
         this.acceptDigest(this.options.memberId, digest);
-        for (const memberId of this.reachable) {
+        for (const memberId of this.reachablePeers) {
             this.options.port.send(memberId, digest);
         }
     }
@@ -100,39 +100,39 @@
         if (memberId === this.options.memberId) {
             return this.callSelf(body, timeoutMs);
         }
-        const count = this.callsByPeer.get(memberId) ?? 0;
+        const count = this.pendingCallCounts.get(memberId) ?? 0;
         const callId = `${this.callPrefix}${this.nextCall++}`;
         const message: CallMessage = { kind: "call", callId, timeoutMs, body };
         if (
-            count >= MAX_CALLS_PER_PEER || !this.reachable.has(memberId) ||
+            count >= MAX_PENDING_CALLS_PER_PEER || !this.reachablePeers.has(memberId) ||
             !this.options.port.send(memberId, message)
         ) {
             return Promise.resolve({ kind: "notSent" });
         }
-        this.callsByPeer.set(memberId, count + 1);
+        this.pendingCallCounts.set(memberId, count + 1);
         return new Promise(resolve => {
             const timer = this.options.clock.schedule(
                 timeoutMs,
                 () => this.settle(callId, { kind: "lost", message: `no answer within ${timeoutMs} ms` }),
             );
-            this.pending.set(callId, { memberId, timer, settle: resolve });
+            this.pendingCalls.set(callId, { memberId, timer, settleCall: resolve });
         });
     }
 
-    note(memberId: string, body: NotificationBody): boolean {
+    notify(memberId: string, body: NotificationBody): boolean {
         if (memberId === this.options.memberId) {
-            this.options.clock.schedule(0, () => this.listener?.receiveNote(memberId, body));
+            this.options.clock.schedule(0, () => this.listener?.receiveNotification(memberId, body));
             return true;
         }
-        return this.reachable.has(memberId) && this.options.port.send(memberId, { kind: "note", body });
+        return this.reachablePeers.has(memberId) && this.options.port.send(memberId, { kind: "note", body });
     }
 
-    getDigest(memberId: string): HeardDigest | undefined {
+    getDigest(memberId: string): ReceivedDigest | undefined {
         return this.digests.get(memberId);
     }
 
     listReachable(): readonly string[] {
-        return [this.options.memberId, ...this.reachable];
+        return [this.options.memberId, ...this.reachablePeers];
     }
 
     private callSelf(body: CallBody, timeoutMs: Millis): Promise<CallResult> {
@@ -166,7 +166,7 @@
                 this.acceptDigest(memberId, message);
                 break;
             case "note":
-                this.listener?.receiveNote(memberId, message.body);
+                this.listener?.receiveNotification(memberId, message.body);
                 break;
             case "call":
                 void this.handleCall(memberId, message.body).then(body =>
@@ -180,55 +180,56 @@
     }
 
     private acceptDigest(memberId: string, digest: DigestMessage): void {
-        const last = this.digests.get(memberId);
-        if (last !== undefined && last.digest.sequence >= digest.sequence) {
+        const previous = this.digests.get(memberId);
+        if (previous !== undefined && previous.digest.sequence >= digest.sequence) {
             return;
         }
-        // A pause leaves digests in the socket's buffer: they arrive fresh and are old. What they echo tells their age.
+        // Digests may have waited in the socket's buffer during a pause, so their time of arrival does not
+        // tell their age. The digest that they echo does: they were made after it was sent.
         const echoed = memberId === this.options.memberId ?
             digest.sequence :
             digest.echoes[this.options.memberId];
-        const sureAt = this.sentAt.get(echoed ?? -1) ?? Number.NEGATIVE_INFINITY;
-        const heard = { digest, heardAt: this.options.clock.now(), sureAt };
-        this.digests.set(memberId, heard);
-        this.listener?.receiveDigest(memberId, heard);
+        const echoedSendTime = this.sendTimes.get(echoed ?? -1) ?? Number.NEGATIVE_INFINITY;
+        const received = { digest, receivedAt: this.options.clock.now(), createdAfter: echoedSendTime };
+        this.digests.set(memberId, received);
+        this.listener?.receiveDigest(memberId, received);
     }
 
-    private recordSent(sequence: number): void {
-        this.sentAt.set(sequence, this.options.clock.now());
-        this.sentAt.delete(sequence - MAX_SENT_REMEMBERED);
+    private recordSendTime(sequence: number): void {
+        this.sendTimes.set(sequence, this.options.clock.now());
+        this.sendTimes.delete(sequence - MAX_SEND_TIMES);
     }
 
     private handleLinkChange(memberId: string, up: boolean): void {
         if (up) {
-            this.reachable.add(memberId);
+            this.reachablePeers.add(memberId);
         }
         else {
-            this.reachable.delete(memberId);
+            this.reachablePeers.delete(memberId);
             this.failCalls(memberId);
         }
         this.listener?.handleLinkChange(memberId, up);
     }
 
-    /** A broken link loses what was under way: whether the call had an effect is not known here. */
+    /** Fails the pending calls over a broken link as `lost`, since whether they had an effect is unknown. */
     private failCalls(memberId: string): void {
-        for (const [callId, call] of this.pending) {
+        for (const [callId, call] of this.pendingCalls) {
             if (call.memberId === memberId) {
                 this.settle(callId, { kind: "lost", message: "the link broke before the answer" });
             }
         }
     }
 
-    /** Settles a call once; a late or doubled answer finds nothing pending and is dropped. */
+    /** Settles a pending call; a late or duplicate answer is counted and dropped. */
     private settle(callId: string, result: CallResult): void {
-        const call = this.pending.get(callId);
+        const call = this.pendingCalls.get(callId);
         if (call === undefined) {
             this.options.metrics.count("peer.late_answers");
             return;
         }
-        this.pending.delete(callId);
-        this.callsByPeer.set(call.memberId, (this.callsByPeer.get(call.memberId) ?? 1) - 1);
+        this.pendingCalls.delete(callId);
+        this.pendingCallCounts.set(call.memberId, (this.pendingCallCounts.get(call.memberId) ?? 1) - 1);
         call.timer.cancel();
-        call.settle(result);
+        call.settleCall(result);
     }
 }
--- a/src/process/placer/placer-role.ts
+++ b/src/process/placer/placer-role.ts
@@ -238,7 +238,7 @@
         }
     }
 
-    receiveNote(from: string, note: NotificationBody): void {
+    receiveNotification(from: string, note: NotificationBody): void {
         switch (note.kind) {
             case "place":
                 this.orders.receivePlace(note);
--- a/src/process/placer/update-outbox.ts
+++ b/src/process/placer/update-outbox.ts
@@ -97,7 +97,7 @@
         let sent = true;
         for (let start = 0; start < updates.length; start += MAX_UPDATES_PER_MESSAGE) {
             const part = updates.slice(start, start + MAX_UPDATES_PER_MESSAGE);
-            sent = this.context.peers.note(owner.memberId, { kind: "updates", homeSlice, updates: part }) &&
+            sent = this.context.peers.notify(owner.memberId, { kind: "updates", homeSlice, updates: part }) &&
                 sent;
         }
         return sent;
--- a/src/process/ports/index.ts
+++ b/src/process/ports/index.ts
@@ -1,4 +1,4 @@
-/** The ports of an entry process: the narrow interfaces behind which the platform, workers and peers stand. */
+/** The ports of an entry process: interfaces to the platform, workers and peers. */
 export * from "./peer-port.js";
 export * from "./store-port.js";
 export * from "./vm-list-port.js";
--- a/src/process/ports/peer-port.ts
+++ b/src/process/ports/peer-port.ts
@@ -1,22 +1,22 @@
 /**
- * Links between entries. Messages on a link arrive in order or not at all; a broken link loses what was
- * under way. Neither delivery nor loss is reported, so every protocol above repeats or asks.
+ * Links between entries. Messages on a link arrive in order or not at all; a broken link loses those in
+ * flight. Neither delivery nor loss is reported, so every protocol on top must resend or query.
  */
 import type { PeerMessage } from "../../connection/messages.js";
 
-/** A member that links are kept to. */
+/** A member to keep links to. */
 export interface PeerAddress {
     readonly memberId: string;
-    /** IP number. */
+    /** IP address. */
     readonly host: string;
     readonly port: number;
 }
 
-/** What a peer port tells its owner. */
+/** Receives the events of a {@link PeerPort}. */
 export interface PeerListener {
-    /** A message arrived from a member. */
+    /** Handles a message from a member. */
     receiveMessage(memberId: string, message: PeerMessage): void;
-    /** The link to a member came up or broke. */
+    /** Handles that the link to a member came up or broke. */
     handleLinkChange(memberId: string, up: boolean): void;
 }
 
@@ -24,7 +24,9 @@
 export interface PeerPort {
     /** Keeps links to exactly these members, in both directions. */
     setPeers(peers: readonly PeerAddress[]): void;
-    /** Sends if the link is up and its buffer has room; returns whether the message was queued. */
+    /**
+     * Sends a message if the link is up and its buffer is not full; returns whether the message was queued.
+     */
     send(memberId: string, message: PeerMessage): boolean;
     /** Installs the listener; called once, before the first message. */
     install(listener: PeerListener): void;
--- a/src/process/ports/store-port.ts
+++ b/src/process/ports/store-port.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's configuration store as this system uses it: compare-and-swap, leases, watches.
- * One HTTP adapter and one in-memory fake stand behind this port; assumptions are in docs/ASSUMPTIONS.md.
+ * Port to the platform's configuration store: compare-and-swap, leases, watches. Implemented by an HTTP
+ * adapter and an in-memory fake. See docs/ASSUMPTIONS.md for what is assumed of the store.
  */
 import type { Millis } from "../../common/clock.js";
 
@@ -9,11 +9,14 @@
     readonly key: string;
     /** UTF-8 text, at most 1 MB. */
     readonly value: string;
-    /** Store-wide counter at the last write of this key; rises with each write and never comes back. */
+    /**
+     * Value of the store-wide write counter at the last write of this key. Increases with each write, never
+     * recurs.
+     */
     readonly revision: number;
 }
 
-/** A change seen by a watch; `value` is undefined when the key was deleted or its lease lapsed. */
+/** A change reported by a poll; `value` is undefined if the key was deleted or its lease lapsed. */
 export interface StoreEvent {
     readonly key: string;
     readonly value: string | undefined;
@@ -22,7 +25,7 @@
 
 /**
  * Answer of one call to the store.
- * `unavailable` means the call surely had no effect; `unknown` means it may have had one.
+ * `unavailable`: the call certainly had no effect. `unknown`: it may have had one.
  */
 export type StoreAnswer<Value> =
     | { readonly kind: "done"; readonly value: Value; }
@@ -30,7 +33,7 @@
         readonly kind: "refused";
         readonly reason: StoreRefusal;
         readonly current: StoreRecord | undefined;
-        /** After a conflict of a transaction: the records that stand at the keys of its conditions. */
+        /** After a transaction's conflict: the current records at the keys of its conditions. */
         readonly standing?: readonly StoreRecord[];
     }
     | { readonly kind: "unavailable"; readonly message: string; }
@@ -40,11 +43,11 @@
 export const StoreRefusal = {
     /** The key's revision is not the expected one. */
     conflict: "conflict",
-    /** The lease named by the call has lapsed. */
+    /** The lease given with the call has lapsed. */
     noLease: "noLease",
-    /** The value is over the store's limit. */
+    /** The value exceeds the store's limit. */
     tooLarge: "tooLarge",
-    /** A watch asked for revisions that the store no longer keeps: list again. */
+    /** A poll requested revisions that the store no longer keeps; the prefix must be listed again. */
     compacted: "compacted",
 } as const;
 export type StoreRefusal = (typeof StoreRefusal)[keyof typeof StoreRefusal];
@@ -56,11 +59,11 @@
     readonly value: string | undefined;
     /** Revision the key must have; 0 means that the key must be absent. */
     readonly expectedRevision: number;
-    /** Lease the key lives on; it is deleted when the lease lapses. */
+    /** Lease that the key is bound to; the key is deleted when the lease lapses. */
     readonly leaseId?: string;
 }
 
-/** A condition of a transaction: the key has this revision; 0 means that it is absent. */
+/** A condition of a transaction: the key has this revision, or is absent if the revision is 0. */
 export interface StoreCondition {
     readonly key: string;
     readonly revision: number;
@@ -70,34 +73,37 @@
 export interface TransactionWrite {
     readonly key: string;
     readonly value: string;
-    /** Lease the key lives on; it is deleted when the lease lapses. */
+    /** Lease that the key is bound to; the key is deleted when the lease lapses. */
     readonly leaseId?: string;
 }
 
-/** Conditions and changes of several keys, all or nothing. */
+/** An atomic change of several keys under conditions. */
 export interface StoreTransaction {
     readonly conditions: readonly StoreCondition[];
     readonly writes: readonly TransactionWrite[];
     readonly removals: readonly string[];
 }
 
-/** Calls to the store. Each costs one call of the platform's budget, a waiting watch too. */
+/** Calls to the store. Each counts as one call against the platform's budget, including a held poll. */
 export interface StorePort {
     /** Reads one key. */
     read(key: string, timeout: Millis): Promise<StoreAnswer<StoreRecord | undefined>>;
-    /** Reads all keys with a prefix, with the store's revision at the time. */
+    /** Reads all records under a prefix, together with the store's revision at that time. */
     list(prefix: string, timeout: Millis): Promise<StoreAnswer<StoreListing>>;
-    /** Compare-and-swap; `done` gives the new revision. */
+    /** Makes a compare-and-swap; `done` carries the new revision. */
     swap(swap: StoreSwap, timeout: Millis): Promise<StoreAnswer<number>>;
-    /** Makes all changes if all conditions hold; `done` gives the new revision. */
+    /** Makes all changes if all conditions hold; `done` carries the new revision. */
     transact(transaction: StoreTransaction, timeout: Millis): Promise<StoreAnswer<number>>;
-    /** Grants a lease; `done` gives its id. */
+    /** Grants a lease; `done` carries its id. */
     grantLease(ttl: Millis, timeout: Millis): Promise<StoreAnswer<string>>;
-    /** Extends a lease by its whole time to live, counted from the moment the store handles the call. */
+    /** Renews a lease for its whole time to live, counted from when the store handles the call. */
     renewLease(leaseId: string, timeout: Millis): Promise<StoreAnswer<undefined>>;
     /** Ends a lease and deletes its keys. */
     revokeLease(leaseId: string, timeout: Millis): Promise<StoreAnswer<undefined>>;
-    /** Waits for changes under a prefix after a revision; an empty list after `timeout` means none. */
+    /**
+     * Waits for changes under a prefix after a revision; answers with an empty list if there are none in
+     * `timeout`.
+     */
     poll(prefix: string, afterRevision: number, timeout: Millis): Promise<StoreAnswer<StoreChanges>>;
 }
 
--- a/src/process/ports/task-worker-port.ts
+++ b/src/process/ports/task-worker-port.ts
@@ -1,31 +1,31 @@
 /**
- * A worker that runs tasks under leases, as the leader speaks to it. Instants with `worker` in their name are on the
- * worker's own monotonic clock, which may be slower than ours by up to 2%.
+ * The leader's port to a worker, which runs tasks under leases. Instants with `worker` in their name are on
+ * the worker's own monotonic clock, which may be slower than the leader's by up to 2%.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
 import type { RunEnd } from "../jobs/job-events.js";
 
-/** One life of a worker. */
+/** One incarnation of a worker. */
 export interface WorkerIdentity {
-    /** New with each start of the worker's process. */
+    /** Changes with each start of the worker's process. */
     readonly workerId: string;
-    /** `host:port` by IP number. Another life may answer there. */
+    /** `host:port` with an IP address. Another incarnation may answer there. */
     readonly address: string;
 }
 
-/** What a worker registered about itself. A hint: it lags, and entries lapse while the store is away. */
+/** A worker's registration. Only a hint: it lags, and registrations lapse while the store is unavailable. */
 export interface WorkerRecord extends WorkerIdentity {
     readonly pool: string;
     readonly failureDomain: string;
     readonly capacity: Resources;
     readonly labels: readonly string[];
     readonly rack: string | undefined;
-    /** Whether it is leaving: it must be given nothing new. */
+    /** Whether the worker is draining and must not be given new work. */
     readonly isDraining: boolean;
 }
 
-/** What every order carries. A worker does nothing for an epoch lower than one it has seen. */
+/** Fields of every order. A worker refuses orders with a lower epoch than the highest it has seen. */
 export interface RunOrder {
     readonly task: string;
     readonly run: number;
@@ -35,26 +35,26 @@
 /** An order to start a run. */
 export interface StartOrder extends RunOrder {
     readonly payload: string;
-    /** The run is not begun after this, however late the order arrives. It never shortens the worker's lease. */
+    /** The worker does not start the run after this instant. It never shortens the worker's lease. */
     readonly workerDeadline: Millis;
-    /** Where to go on from; empty for the beginning. */
+    /** Checkpoint to resume from; empty to start from the beginning. */
     readonly checkpoint: string;
-    /** Set where the queue needs one. */
+    /** Permit of the advice service; set if the queue requires one. */
     readonly permit: string | undefined;
 }
 
-/** Asks for a report and renews the lease of everything that runs on the worker. */
+/** Requests a report and renews the lease of everything that runs on the worker. */
 export interface ReportRequest {
     readonly epoch: number;
-    /** Ends up to this number are durable here; the worker forgets them. */
+    /** Ends up to this number are durable at the leader; the worker may forget them. */
     readonly seenEnd: number;
-    /** End of the lease; left out while the worker's clock is unknown. */
+    /** End of the lease; undefined while the worker's clock is unknown. */
     readonly workerDeadline: Millis | undefined;
-    /** Time for which the worker may hold the answer back until something ends. */
+    /** How long the worker may hold the answer until a run ends. */
     readonly waitMs: Millis;
 }
 
-/** A run that is on the worker. */
+/** A run that the worker executes. */
 export interface RunningRun {
     readonly task: string;
     readonly run: number;
@@ -64,7 +64,7 @@
 
 /** A run that ended on the worker. */
 export interface EndedRun {
-    /** Counts from 1 in each life of the worker. */
+    /** Sequence number of the end, from 1 in each incarnation of the worker. */
     readonly number: number;
     readonly task: string;
     readonly run: number;
@@ -72,59 +72,61 @@
     readonly checkpoint: string;
 }
 
-/** What a worker says of itself. */
+/** A worker's report of its runs. */
 export interface WorkerReport {
     readonly workerNow: Millis;
     readonly running: readonly RunningRun[];
-    /** Ends after `seenEnd`, oldest first; a full list may go on. */
+    /** Ends after `seenEnd`, oldest first; if the list is full, there may be more. */
     readonly ended: readonly EndedRun[];
 }
 
-/** Ends that one report holds at most. */
+/** Maximum number of ends in one report. */
 export const MAX_REPORTED_ENDS = 500;
 
-/** Why a worker refused an order. It has then not been carried out. */
+/** Why a worker refused an order, which then had no effect. */
 export const OrderRefusal = {
     /** It has seen a higher epoch. */
     fenced: "fenced",
-    /** This run, or a higher one, was stopped or has ended there. */
+    /** This run of the task, or a later one, was stopped or has ended on the worker. */
     outdated: "outdated",
     /** The order's deadline has passed. */
     late: "late",
-    /** The worker guards its capacity and has no room. */
+    /** The worker enforces its capacity and has not enough left. */
     noRoom: "noRoom",
     /** The permit is missing, expired or not for this worker. */
     noPermit: "noPermit",
-    /** The worker can't read the order. */
+    /** The worker cannot parse the order. */
     invalid: "invalid",
-    /** The worker calls itself unhealthy or busy. */
+    /** The worker reports itself as unhealthy or busy. */
     unhealthy: "unhealthy",
 } as const;
 export type OrderRefusal = (typeof OrderRefusal)[keyof typeof OrderRefusal];
 
-/** How a call to a worker ended. */
+/** Outcome of a call to a worker. */
 export type WorkerAnswer<Value> =
     | { readonly kind: "done"; readonly value: Value; }
     | { readonly kind: "refused"; readonly reason: OrderRefusal; }
-    /** Another life answers at the address: the one that was meant is over, with all it ran. */
+    /** Another incarnation answered at the address: the addressed one has ended, with all of its runs. */
     | { readonly kind: "replaced"; }
-    /** Not a byte was sent. */
+    /** Nothing was sent. */
     | { readonly kind: "notSent"; readonly message: string; }
-    /** It may have been carried out, or may be, seconds later. */
+    /** The order may have been carried out, or may still be, seconds later. */
     | { readonly kind: "unknown"; readonly message: string; };
 
 /** Calls to workers. */
 export interface TaskWorkerPort {
-    /** `done` gives the worker's time. */
+    /** Starts a run; `done` carries the worker's time. */
     start(worker: WorkerIdentity, order: StartOrder, timeout: Millis): Promise<WorkerAnswer<Millis>>;
-    /** Stops a run; one that is not there yet is refused from then on. `done` gives the worker's time. */
+    /**
+     * Stops a run; if it has not started there, it is refused from then on. `done` carries the worker's time.
+     */
     stop(worker: WorkerIdentity, order: RunOrder, timeout: Millis): Promise<WorkerAnswer<Millis>>;
     report(
         worker: WorkerIdentity,
         request: ReportRequest,
         timeout: Millis,
     ): Promise<WorkerAnswer<WorkerReport>>;
-    /** Closes the connections to a life that is over. */
+    /** Closes the connections to an incarnation that has ended. */
     forget(worker: WorkerIdentity): void;
 }
 
@@ -134,14 +136,14 @@
     readonly token: string;
 }
 
-/** How a question to the advice service ended. */
+/** Outcome of a request to the advice service. */
 export type AdviceAnswer =
     | { readonly kind: "done"; readonly permits: readonly Permit[]; }
-    /** Its waiting line is full. */
+    /** The queue of the service is full. */
     | { readonly kind: "busy"; }
     | { readonly kind: "failed"; readonly message: string; };
 
-/** The service that knows which workers may run a step. It serves one call at a time for each calling VM. */
+/** The service that decides which workers may run a step. It serves one call at a time per calling VM. */
 export interface AdvicePort {
     /**
      * @param step - Name of the step.
--- a/src/process/ports/vm-list-port.ts
+++ b/src/process/ports/vm-list-port.ts
@@ -1,4 +1,4 @@
-/** The platform's list of VMs that run workers. It lags: it is a hint, never a proof. */
+/** Port to the platform's list of VMs that run workers. The list lags, so it is only a hint. */
 import type { Millis } from "../../common/clock.js";
 
 /** State of a VM in the list. */
@@ -11,7 +11,7 @@
 /** One VM of the list. */
 export interface VmRecord {
     readonly workerId: string;
-    /** `http://host:port` by IP number. */
+    /** `http://host:port` with an IP address. */
     readonly url: string;
     readonly rack: string;
     readonly failureDomain: string;
--- a/src/process/roles.ts
+++ b/src/process/roles.ts
@@ -1,6 +1,6 @@
 /**
- * The roles of an entry and what each offers to the others. Every entry runs all of them; each role is a task
- * that owns its state and is told things by messages and calls.
+ * Interfaces between the roles of an entry. Every entry runs all roles; each role owns its state, which the
+ * others reach only through calls and messages.
  */
 import type { Clock, Millis } from "../common/clock.js";
 import type { Outcome } from "../common/outcome.js";
@@ -21,9 +21,9 @@
 import type { StoreClient } from "./store-client.js";
 import type { Log, Metrics } from "./telemetry.js";
 
-/** What every role is given. */
+/** Dependencies that every role receives. */
 export interface RoleContext {
-    /** Unique for this life of the entry process. */
+    /** Unique per incarnation of the entry process. */
     readonly memberId: string;
     readonly clock: Clock;
     readonly random: Random;
@@ -35,43 +35,43 @@
     readonly ownership: OwnershipView;
 }
 
-/** The tree role, as the others read it. */
+/** Read access to the settings tree for the other roles. */
 export interface SettingsSource {
-    /** The version in force, or undefined before the first was read. */
+    /** The version in force, or undefined until the first one has been read. */
     getCurrent(): SettingsVersion | undefined;
     /**
-     * Whether this entry may act on its version: false once it can no longer rule out that a newer one has
-     * been accepted elsewhere.
+     * Whether this entry may act on its version: false once it can no longer rule out that another entry has
+     * accepted a newer one.
      */
     isCurrent(): boolean;
     /** Calls back after each change of version. */
     subscribe(listener: (settings: SettingsVersion) => void): void;
 }
 
-/** Messages to other entries, and to this one: a message to the own member id is delivered at once. */
+/** Messages to other entries and to this one; those to the own member id are delivered immediately. */
 export interface PeerHub {
-    /** Asks a member; resolves with `error` `notReady` when the link is down or the time is over. */
+    /** Calls a member; resolves with `notSent` or `lost` if no answer was received. */
     call(memberId: string, body: CallBody, timeoutMs: Millis): Promise<CallResult>;
-    /** Sends a note; returns whether it was queued on a link. */
-    note(memberId: string, body: NotificationBody): boolean;
-    /** The last digest of a member and when it arrived; undefined if never. */
-    getDigest(memberId: string): HeardDigest | undefined;
-    /** Members with a link that is up, this one included. */
+    /** Sends a one-way notification; returns whether it was queued on a link. */
+    notify(memberId: string, body: NotificationBody): boolean;
+    /** The last digest received from a member; undefined if there was none. */
+    getDigest(memberId: string): ReceivedDigest | undefined;
+    /** Members whose link is up, including this one. */
     listReachable(): readonly string[];
 }
 
-/** A digest and the instant at which it arrived. */
-export interface HeardDigest {
+/** A digest and when it was received. */
+export interface ReceivedDigest {
     readonly digest: DigestMessage;
-    readonly heardAt: Millis;
+    readonly receivedAt: Millis;
     /**
-     * An instant of this entry's clock that surely came before the digest was made: when the digest that it echoes
-     * was sent. Rules that must not be misled by old messages count age from here.
+     * An instant of this entry's clock that certainly precedes the creation of the digest: when the digest
+     * that it echoes was sent. Rules that delayed messages must not mislead compute the age from here.
      */
-    readonly sureAt: Millis;
+    readonly createdAfter: Millis;
 }
 
-/** Result of a call to another entry. `lost`: no answer came, it may have had an effect. */
+/** Result of a call to another entry. `lost`: no answer was received, and the call may have had an effect. */
 export type CallResult =
     | { readonly kind: "answer"; readonly body: AnswerBody; }
     | { readonly kind: "notSent"; }
@@ -83,50 +83,50 @@
     readonly epoch: number;
 }
 
-/** A member of the cell, as written in the ownership table. */
+/** A member of the cell, as recorded in the ownership table. */
 export interface Member {
     readonly memberId: string;
     readonly host: string;
-    /** Port for links between entries. */
+    /** Port that accepts links from other entries. */
     readonly peerPort: number;
-    /** `http://host:port` for callers and operators. */
+    /** Base URL for callers and operators, `http://host:port`. */
     readonly httpUrl: string;
     readonly failureDomain: string;
 }
 
-/** Who owns what, as this entry knows it. */
+/** The ownership table, as this entry knows it. */
 export interface OwnershipView {
-    /** Revision of the table this view was built from; 0 before the first. */
+    /** Revision of the table; 0 until the first one has been read. */
     getRevision(): number;
     listMembers(): readonly Member[];
     getWorkerSliceOwner(slice: number): SliceOwner | undefined;
     getHomeSliceOwner(slice: number): SliceOwner | undefined;
     /**
-     * Whether this entry may hand out orders now: its right surely has not been taken by another, by the
-     * rules of docs/design/ownership.md. Check it at the latest point before each order.
+     * Whether this entry may send orders now: by the rules of docs/design/ownership.md, no other entry can
+     * have taken over its authority. Check it immediately before each order.
      */
     mayAct(): boolean;
-    /** As {@link mayAct}, by the time rule alone: for workers that compare no epochs. */
+    /** End of the authority by the time rule alone; for workers that do not compare epochs. */
     getLeaseOnlyDeadline(): Millis;
     /** Calls back after each change of the table. */
     subscribe(listener: () => void): void;
 }
 
-/** The home role. */
+/** The home role: keeps the jobs and keyed requests of the home slices that this entry owns. */
 export interface HomeRole {
-    /** Becomes owner of a slice: reads it back, fences the owner before, takes a census, then goes on. */
+    /** Becomes owner of a slice: recovers it, fences the previous owner, takes a census, then resumes it. */
     openSlice(slice: number, epoch: number): void;
-    /** Stops owning: `handOver` flushes first; `lost` drops everything at once. */
+    /** Ends ownership: `handOver` flushes first; `lost` discards all state immediately. */
     closeSlice(slice: number, mode: "handOver" | "lost"): Promise<void>;
     handleRequest(slice: number, request: HomeRequest): Promise<HomeReply>;
     receiveUpdates(from: string, note: UpdateNotification): void;
-    /** Slices that are recovered and serving. */
+    /** Slices that are recovered and serve requests. */
     listReady(): readonly number[];
-    /** Counts for `status` and metrics. */
+    /** Slices and counts for `status` and metrics. */
     getStatus(): HomeStatus;
 }
 
-/** What a home role has. */
+/** Status of a home role. */
 export interface HomeStatus {
     readonly slices: readonly { readonly slice: number; readonly epoch: number; readonly ready: boolean; }[];
     readonly jobs: number;
@@ -134,16 +134,16 @@
     readonly runningTasks: number;
 }
 
-/** The placer role. */
+/** The placer role: places work on the workers of the worker slices that this entry owns. */
 export interface PlacerRole {
     openSlice(slice: number, epoch: number, predecessor: "none" | "released" | "lost"): void;
     closeSlice(slice: number, mode: "handOver" | "lost"): Promise<void>;
     handleCall(from: string, body: CallBody): Promise<AnswerBody>;
-    receiveNote(from: string, note: NotificationBody): void;
+    receiveNotification(from: string, note: NotificationBody): void;
     listSlices(): readonly SliceStatus[];
     getLoad(): PlacerLoad;
     listWorkers(): readonly WorkerStatus[];
-    /** Says in words why tasks of a job wait here or where they run; empty if it knows of none. */
+    /** Explains why tasks of a job wait here, or where they run; empty if it knows none of them. */
     explain(jobId: string): readonly string[];
 }
 
@@ -162,25 +162,25 @@
     readonly capacity: PlacerLoad["free"];
 }
 
-/** What the callers' HTTP interface needs of the entry. */
+/** What the callers' HTTP interface requires of the entry. */
 export interface CallerGateway {
-    /** Refusal that applies to all new work now, or undefined when work is taken. */
+    /** The outcome with which all new work is currently refused, or undefined while work is accepted. */
     findRefusal(): Outcome | undefined;
     /** Runs a service request to its final outcome; never rejects. */
     runService(request: ServiceRequest): Promise<ServiceResult>;
-    /** Makes the id of a job; equal for equal team and idempotency key, at every entry. */
+    /** Makes the id of a job. Equal team and idempotency key give the same id at every entry. */
     makeJobId(caller: Caller, spec: JobSpec): string;
-    /** Asks the owner of a job's home slice, wherever it is; never rejects. */
+    /** Sends a request to the owner of a job's home slice, on whichever entry it is; never rejects. */
     callHome(jobId: string, request: HomeRequest, timeoutMs: Millis): Promise<HomeReply>;
 }
 
-/** Outcome of a service request and how it came about. */
+/** Outcome of a service request and how it was reached. */
 export interface ServiceResult {
     readonly outcome: Outcome;
-    /** Tries made on workers. */
+    /** Attempts made on workers. */
     readonly attempts: number;
-    /** Whether it is the remembered outcome of an earlier request with the same key. */
+    /** Whether this is the stored outcome of an earlier request with the same idempotency key. */
     readonly repeated: boolean;
-    /** Settings version it was decided under. */
+    /** Settings version under which the request was decided. */
     readonly treeVersion: number;
 }
--- a/src/process/sinks/index.ts
+++ b/src/process/sinks/index.ts
@@ -1,4 +1,4 @@
-/** Where logs and metrics go. */
+/** Outputs of logs and metrics. */
 export { createDescriptorOutput, DEFAULT_LINE_BUFFER_BYTES, LineBuffer } from "./line-buffer.js";
 export type { LineOutput } from "./line-buffer.js";
 export { createPinoLog, LogLevel } from "./pino-log.js";
--- a/src/process/sinks/line-buffer.ts
+++ b/src/process/sinks/line-buffer.ts
@@ -1,90 +1,93 @@
 /**
- * A bounded buffer of log lines in front of a slow output. Lines that find it full are dropped and counted;
- * the event loop never waits for the output.
+ * A bounded buffer of log lines in front of a slow output. Lines that do not fit are dropped and counted; the
+ * event loop never waits for the output.
  */
 import { write } from "node:fs";
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 
-/** Where lines go. Calls back once all bytes are written or lost; never throws. */
+/** Output of lines. Calls `finished` once all bytes are written or lost; never throws. */
 export type LineOutput = (bytes: Buffer, finished: () => void) => void;
 
-/** Bytes of lines that may wait. */
+/** Default size of the buffer. */
 export const DEFAULT_LINE_BUFFER_BYTES = 4 * 1_048_576;
 
-/** Share of the buffer beyond which decisions are dropped, so that warnings still find room. */
-const DECISION_SHARE = 0.75;
+/**
+ * Fill level above which decision lines are dropped; the rest is reserved for other lines, such as warnings.
+ */
+const DECISION_FILL_LIMIT = 0.75;
 
-/** Time for which lines are gathered before they are written together. */
-const BATCH_WAIT_MS: Millis = 20;
-/** Characters that are written without further waiting. */
-const FULL_BATCH_BYTES = 65_536;
+/** How long lines are collected before they are written as one batch. */
+const BATCH_DELAY_MS: Millis = 20;
+/** Number of waiting characters at which a batch is written without further delay. */
+const FULL_BATCH_LENGTH = 65_536;
 /**
- * Bytes of one write: what a pipe takes as a whole. Larger ones reach a reader in pieces that end anywhere, and one that
- * takes so much at a time loses the rest.
+ * Maximum bytes of one write: what a pipe writes atomically. Larger writes may be split anywhere, and a
+ * reader that reads only this much at a time loses the rest.
  */
 const MAX_WRITE_BYTES = 4_096;
 
 /** Collects lines and writes them in batches, one write at a time. */
 export class LineBuffer {
     private lines: string[] = [];
-    private waitingBytes = 0;
-    private writing = false;
+    private bufferedLength = 0;
+    private isWriting = false;
     private dropped = 0;
-    private waiters: (() => void)[] = [];
-    /** Runs while the next batch gathers and none is being written. */
+    private flushWaiters: (() => void)[] = [];
+    /** Pending while the next batch is being collected and no write is in flight. */
     private timer: Timer | undefined;
 
     /**
-     * @param clock - Times the batches.
-     * @param output - Where batches go.
-     * @param maxBytes - Characters that may wait, the batch being written included.
+     * @param maxLength - Maximum number of buffered characters, including the batch being written.
      */
     constructor(
         private readonly clock: Clock,
         private readonly output: LineOutput,
-        private readonly maxBytes: number = DEFAULT_LINE_BUFFER_BYTES,
+        private readonly maxLength: number = DEFAULT_LINE_BUFFER_BYTES,
     ) {}
 
-    /** Whether a decision line may be written; if not it is counted as dropped. Cheaper than making the line. */
-    hasRoomForDecision(): boolean {
-        const hasRoom = this.waitingBytes < this.maxBytes * DECISION_SHARE;
-        if (!hasRoom) {
+    /**
+     * Returns whether a decision line may be written; if not, counts it as dropped. Lets callers skip
+     * formatting the line.
+     */
+    hasCapacityForDecision(): boolean {
+        const hasCapacity = this.bufferedLength < this.maxLength * DECISION_FILL_LIMIT;
+        if (!hasCapacity) {
             this.dropped += 1;
         }
-        return hasRoom;
+        return hasCapacity;
     }
 
-    /** Takes a line with its line break, or drops and counts it. */
+    /** Buffers a line, which must end with a line break; drops and counts it if it does not fit. */
     write(line: string): void {
-        if (this.waitingBytes + line.length > this.maxBytes) {
+        if (this.bufferedLength + line.length > this.maxLength) {
             this.dropped += 1;
             return;
         }
         this.lines.push(line);
-        this.waitingBytes += line.length;
-        if (!this.writing) {
-            this.writing = true;
-            this.timer = this.clock.schedule(BATCH_WAIT_MS, () => this.startBatch());
+        this.bufferedLength += line.length;
+        if (!this.isWriting) {
+            this.isWriting = true;
+            this.timer = this.clock.schedule(BATCH_DELAY_MS, () => this.startBatch());
         }
-        else if (this.timer !== undefined && this.waitingBytes >= FULL_BATCH_BYTES) {
+        else if (this.timer !== undefined && this.bufferedLength >= FULL_BATCH_LENGTH) {
             this.startBatch();
         }
     }
 
-    /** Lines dropped since the last call. */
+    /** Returns and resets the number of dropped lines. */
     takeDropped(): number {
         const { dropped } = this;
         this.dropped = 0;
         return dropped;
     }
 
-    /** Resolves once everything taken so far is written. */
+    /** Resolves once all lines buffered so far are written. */
     flush(): Promise<void> {
-        if (!this.writing) {
+        if (!this.isWriting) {
             return Promise.resolve();
         }
         return new Promise(resolve => {
-            this.waiters.push(resolve);
+            this.flushWaiters.push(resolve);
             if (this.timer !== undefined) {
                 this.startBatch();
             }
@@ -99,19 +102,19 @@
 
     private writeBatch(): void {
         const batch = this.takeLines();
-        const characters = batch.length;
+        const length = batch.length;
         this.output(Buffer.from(batch), () => {
-            this.waitingBytes -= characters;
+            this.bufferedLength -= length;
             if (this.lines.length > 0) {
                 this.writeBatch();
                 return;
             }
-            this.writing = false;
-            this.waiters.splice(0).forEach(resolve => resolve());
+            this.isWriting = false;
+            this.flushWaiters.splice(0).forEach(resolve => resolve());
         });
     }
 
-    /** Takes as many lines as one write may hold; a longer line goes alone. */
+    /** Removes as many lines as fit into one write; a line that is too long is written alone. */
     private takeLines(): string {
         let bytes = 0;
         let count = 0;
@@ -126,26 +129,24 @@
     }
 }
 
-/** Wait before a pipe that was full is tried again. */
-const FULL_PIPE_WAIT_MS: Millis = 20;
+/** Delay before a write to a full pipe is retried. */
+const FULL_PIPE_RETRY_MS: Millis = 20;
 
 /**
- * Makes an output that writes to a file descriptor, such as 1 for standard output.
+ * Creates an output that writes to a file descriptor, such as 1 for standard output.
  *
- * @remarks Failure guarded against: `process.stdout` writes to a pipe in the event loop's own thread, so a log
- * collector that stops reading stops the whole entry. `fs.write` waits in the thread pool instead, one write
- * at a time.
- * @param descriptor - An open file descriptor.
- * @param clock - Times the next try on a full pipe.
+ * @remarks `process.stdout` writes to a pipe synchronously, so a log collector that stops reading would block
+ * the event loop of the entry. `fs.write` blocks only a thread of the thread pool, and there is one write at
+ * a time.
  */
 export function createDescriptorOutput(descriptor: number, clock: Clock): LineOutput {
     function writeFrom(bytes: Buffer, offset: number, finished: () => void): void {
         write(descriptor, bytes, offset, bytes.length - offset, undefined, (error, written) => {
             if (error?.code === "EAGAIN") {
-                clock.schedule(FULL_PIPE_WAIT_MS, () => writeFrom(bytes, offset, finished));
+                clock.schedule(FULL_PIPE_RETRY_MS, () => writeFrom(bytes, offset, finished));
             }
             else if (error instanceof Error || offset + written >= bytes.length) {
-                // On EPIPE (the reader is gone) or a full disk the lines are lost and the entry goes on.
+                // On EPIPE (the reader is gone) or a full disk, the lines are lost and the entry continues.
                 finished();
             }
             else {
--- a/src/process/sinks/pino-log.ts
+++ b/src/process/sinks/pino-log.ts
@@ -1,11 +1,11 @@
-/** The structured log of an entry, by pino, as lines of JSON. docs/LOGS.md lists the fields. */
+/** The structured log of an entry: JSON lines, written by pino. See docs/LOGS.md for the fields. */
 import { pino } from "pino";
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 import type { Log } from "../telemetry.js";
 import { LineBuffer } from "./line-buffer.js";
 import type { LineOutput } from "./line-buffer.js";
 
-/** Levels of the log, least first. */
+/** Log levels, in ascending order of severity. */
 export const LogLevel = {
     debug: "debug",
     info: "info",
@@ -14,33 +14,30 @@
 } as const;
 export type LogLevel = (typeof LogLevel)[keyof typeof LogLevel];
 
-/** What a log is made from. */
+/** Options of {@link createPinoLog}. */
 export interface PinoLogOptions {
     readonly level: LogLevel;
-    /** On every line. */
+    /** Added to every line as `member`. */
     readonly memberId: string;
     readonly output: LineOutput;
-    /** Characters of lines that may wait for the output. */
+    /** Maximum number of characters buffered for the output. */
     readonly maxBufferedBytes?: number;
-    /** Whether each decision has a line; the field list is the same for all. */
+    /** Whether decisions are logged, one line each; true by default. */
     readonly logsDecisions?: boolean;
     readonly clock: Clock;
 }
 
-/** A log that can be ended. */
+/** A log that can be flushed and closed. */
 export interface PinoLog extends Log {
     /** Resolves once all lines so far are written. */
     flush(): Promise<void>;
-    /** Writes what is left and stops the log's timer. */
+    /** Writes all buffered lines and stops reporting dropped lines. */
     close(): Promise<void>;
 }
 
-const DROPPED_REPORT_MS: Millis = 1_000;
+const DROPPED_REPORT_INTERVAL_MS: Millis = 1_000;
 
-/**
- * Opens a log.
- * @param options - See {@link PinoLogOptions}.
- */
+/** Creates a log that writes to `options.output` without blocking the event loop. */
 export function createPinoLog(options: PinoLogOptions): PinoLog {
     const { clock } = options;
     const buffer = new LineBuffer(clock, options.output, options.maxBufferedBytes);
@@ -59,7 +56,7 @@
     });
     return {
         decide(record) {
-            if (logsDecisions && buffer.hasRoomForDecision()) {
+            if (logsDecisions && buffer.hasCapacityForDecision()) {
                 logger.info({ event: "decision", ...record });
             }
         },
@@ -75,7 +72,7 @@
     };
 }
 
-/** Says at most once a second how many lines were dropped. */
+/** Reports the number of dropped lines, if any, once a second. */
 function startDroppedReport(clock: Clock, buffer: LineBuffer, report: (dropped: number) => void): Timer {
     let timer: Timer;
     function reportDropped(): void {
@@ -83,8 +80,8 @@
         if (dropped > 0) {
             report(dropped);
         }
-        timer = clock.schedule(DROPPED_REPORT_MS, reportDropped);
+        timer = clock.schedule(DROPPED_REPORT_INTERVAL_MS, reportDropped);
     }
-    timer = clock.schedule(DROPPED_REPORT_MS, reportDropped);
+    timer = clock.schedule(DROPPED_REPORT_INTERVAL_MS, reportDropped);
     return { cancel: () => timer.cancel() };
 }
--- a/src/process/sinks/silent.ts
+++ b/src/process/sinks/silent.ts
@@ -1,4 +1,4 @@
-/** Logs and metrics that go nowhere. */
+/** Logs and metrics that discard everything. */
 import type { Log, Metrics } from "../telemetry.js";
 
 const ignore = (): void => undefined;
--- a/src/process/sinks/stats-metrics.ts
+++ b/src/process/sinks/stats-metrics.ts
@@ -1,40 +1,40 @@
-/** Metrics by hot-shots: StatsD lines over UDP. Nothing that fails here is felt elsewhere. */
+/** Metrics as StatsD packets over UDP, sent by hot-shots. Errors are only counted. */
 import { StatsD } from "hot-shots";
 import type { Metrics } from "../telemetry.js";
 
-/** Where metrics go. */
+/** Destination of the metrics. */
 export interface StatsMetricsOptions {
-    /** IP number of the StatsD server. */
+    /** IP address of the StatsD server. */
     readonly host: string;
     readonly port: number;
     readonly tags?: Readonly<Record<string, string>>;
 }
 
-/** Metrics that can be ended. */
+/** Metrics that can be closed. */
 export interface StatsMetrics extends Metrics {
-    /** Errors of the socket so far. */
+    /** Returns the number of socket errors so far. */
     countErrors(): number;
-    /** Sends what is buffered and closes the socket. */
+    /** Sends all buffered metrics and closes the socket. */
     close(): Promise<void>;
 }
 
 const PREFIX = "cactusrack.";
-/** Below the smallest usual packet size, so that no packet is cut. */
+/** Below the smallest usual MTU, so that no packet is fragmented. */
 const MAX_PACKET_BYTES = 1_400;
-const FLUSH_MS = 1_000;
-/** Names with tags that are summed up here between two sends; further ones are dropped until the next. */
-const MAX_SUMMED = 5_000;
+const FLUSH_INTERVAL_MS = 1_000;
 /**
- * Times of one name sent in one interval; beyond it one in sixteen is. Percentiles stay right; how many there
- * were is told by counts. Bounds the packets and the processor time of a busy entry.
+ * Maximum number of series aggregated between two flushes; further series are dropped until the next flush.
  */
-const FULL_TIMES = 200;
-const THINNED_TO = 16;
-
+const MAX_AGGREGATED_SERIES = 5_000;
 /**
- * Opens the socket for metrics.
- * @param options - Where they go.
+ * Timings of one name that are all sent within one flush interval; of further ones, one in sixteen is sent.
+ * This bounds packets and CPU time of a busy entry. Percentiles stay accurate; the number of events must be
+ * taken from counters.
  */
+const MAX_UNSAMPLED_TIMINGS = 200;
+const SAMPLING_INTERVAL = 16;
+
+/** Creates metrics that are sent to a StatsD server, and opens their socket. */
 export function createStatsMetrics(options: StatsMetricsOptions): StatsMetrics {
     let errors = 0;
     const client = new StatsD({
@@ -44,30 +44,30 @@
         prefix: PREFIX,
         globalTags: { ...options.tags },
         maxBufferSize: MAX_PACKET_BYTES,
-        bufferFlushInterval: FLUSH_MS,
+        bufferFlushInterval: FLUSH_INTERVAL_MS,
         includeDataDogTags: false,
-        // Without a handler an error of the socket would end the process.
+        // Without a handler, a socket error would terminate the process.
         errorHandler: () => {
             errors += 1;
         },
     });
-    const sums = new SumTable();
-    const timesSent = new Map<string, number>();
-    function flushSums(): void {
-        timesSent.clear();
-        for (const { kind, name, tags, value } of sums.takeAll()) {
+    const aggregates = new AggregateTable();
+    const timingCounts = new Map<string, number>();
+    function flushAggregates(): void {
+        timingCounts.clear();
+        for (const { kind, name, tags, value } of aggregates.takeAll()) {
             client[kind](name, value, tags);
         }
     }
-    const interval = setInterval(flushSums, FLUSH_MS);
+    const interval = setInterval(flushAggregates, FLUSH_INTERVAL_MS);
     interval.unref();
     return {
-        count: (name, value = 1, tags = NO_TAGS) => sums.add("increment", name, tags, value),
-        gauge: (name, value, tags = NO_TAGS) => sums.add("gauge", name, tags, value),
+        count: (name, value = 1, tags = NO_TAGS) => aggregates.add("increment", name, tags, value),
+        gauge: (name, value, tags = NO_TAGS) => aggregates.add("gauge", name, tags, value),
         time(name, milliseconds, tags = NO_TAGS) {
-            const sent = (timesSent.get(name) ?? 0) + 1;
-            timesSent.set(name, sent);
-            if (sent <= FULL_TIMES || sent % THINNED_TO === 0) {
+            const timingCount = (timingCounts.get(name) ?? 0) + 1;
+            timingCounts.set(name, timingCount);
+            if (timingCount <= MAX_UNSAMPLED_TIMINGS || timingCount % SAMPLING_INTERVAL === 0) {
                 client.timing(name, milliseconds, tags);
             }
         },
@@ -75,7 +75,7 @@
         close: () =>
             new Promise(resolve => {
                 clearInterval(interval);
-                flushSums();
+                flushAggregates();
                 client.close(() => resolve());
             }),
     };
@@ -85,34 +85,37 @@
 
 type Tags = Readonly<Record<string, string>>;
 
-interface Sum {
+interface Aggregate {
     readonly kind: "increment" | "gauge";
     readonly name: string;
     readonly tags: Tags;
     value: number;
 }
 
-/** Sums of counts and last values of gauges since the last send; one look-up for each call. */
-class SumTable {
-    private sums = new Map<string, Sum>();
+/**
+ * Sums of counters and last values of gauges since the last flush, so that each call costs only one map
+ * lookup.
+ */
+class AggregateTable {
+    private aggregates = new Map<string, Aggregate>();
 
-    add(kind: Sum["kind"], name: string, tags: Tags, value: number): void {
+    add(kind: Aggregate["kind"], name: string, tags: Tags, value: number): void {
         let key = name;
         for (const tag in tags) {
             key += `|${tag}:${tags[tag] ?? ""}`;
         }
-        const sum = this.sums.get(key);
-        if (sum !== undefined) {
-            sum.value = kind === "gauge" ? value : sum.value + value;
+        const aggregate = this.aggregates.get(key);
+        if (aggregate !== undefined) {
+            aggregate.value = kind === "gauge" ? value : aggregate.value + value;
         }
-        else if (this.sums.size < MAX_SUMMED) {
-            this.sums.set(key, { kind, name, tags, value });
+        else if (this.aggregates.size < MAX_AGGREGATED_SERIES) {
+            this.aggregates.set(key, { kind, name, tags, value });
         }
     }
 
-    takeAll(): Iterable<Sum> {
-        const all = this.sums.values();
-        this.sums = new Map();
+    takeAll(): Iterable<Aggregate> {
+        const all = this.aggregates.values();
+        this.aggregates = new Map();
         return all;
     }
 }
--- a/src/process/sinks/text-metrics.ts
+++ b/src/process/sinks/text-metrics.ts
@@ -1,27 +1,30 @@
-/** Counters, gauges and latency histograms of one process as text, for whoever fetches them. */
+/** Counters, gauges and latency histograms of one process, rendered as text on request. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import type { Metrics } from "../telemetry.js";
 
-/** Percentiles that are shown of each histogram. */
-const SHOWN_PERCENTILES = [50, 90, 99] as const;
-/** Histograms count in microseconds, from one to a minute, with two significant digits: 11 KB each. */
+/** Percentiles rendered for each histogram. */
+const RENDERED_PERCENTILES = [50, 90, 99] as const;
+/** Histograms record microseconds, from one to a minute, with two significant digits; each takes 11 KB. */
 const HISTOGRAM_OPTIONS = {
     lowestDiscernibleValue: 1,
     highestTrackableValue: 60_000_000,
     numberOfSignificantValueDigits: 2,
 } as const;
 const MICROS_PER_MILLI = 1_000;
-/** Series of one name and different tags; more are left out, so that a tag with many values cannot fill memory. */
+/**
+ * Maximum number of series of each kind; further ones are dropped, so that a tag with many values cannot fill
+ * memory.
+ */
 const MAX_SERIES = 1_000;
 
 /** Metrics kept in memory. */
 export interface TextMetrics extends Metrics {
-    /** Renders all series, one a line: name with tags, and value; times in milliseconds. */
+    /** Renders all series, one per line: name with tags, then value. Times are in milliseconds. */
     render(): string;
 }
 
-/** @returns Metrics that start at nothing. */
+/** Creates metrics without any series. */
 export function createTextMetrics(): TextMetrics {
     const counters = new Map<string, number>();
     const gauges = new Map<string, number>();
@@ -70,14 +73,14 @@
 
 function renderHistogram(key: string, histogram: Histogram): readonly string[] {
     const [name = "", tags] = splitSeries(key);
-    const shown = SHOWN_PERCENTILES.map(percentile => {
+    const shown = RENDERED_PERCENTILES.map(percentile => {
         const value = histogram.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
         return `${name}_ms${addTag(tags, "percentile", String(percentile))} ${value}`;
     });
     return [...shown, `${name}_count${tags} ${histogram.totalCount}`];
 }
 
-/** Formats `a.b` with tags as `a_b{x="y"}`. */
+/** Formats name `a.b` with tags as `a_b{x="y"}`. */
 function formatSeries(name: string, tags: Readonly<Record<string, string>> | undefined): string {
     const plain = name.replaceAll(/\W/g, "_");
     const pairs = Object.entries(tags ?? {}).map(([key, value]) => `${key}="${value}"`);
--- a/src/process/slice-keeper.ts
+++ b/src/process/slice-reconciler.ts
@@ -1,29 +1,29 @@
-/** Opens and closes slices of the home and placer roles as the ownership table says. */
+/** Opens and closes slices of the home and placer roles to match the ownership table. */
 import { type OwnershipRole, SliceKind, type SliceName } from "./ownership/index.js";
 import type { HomeRole, PlacerRole } from "./roles.js";
 
-/** What {@link SliceKeeper} is given. */
-export interface SliceKeeperOptions {
+/** Options of {@link SliceReconciler}. */
+export interface SliceReconcilerOptions {
     readonly memberId: string;
     readonly ownership: OwnershipRole;
     readonly home: HomeRole;
     readonly placer: PlacerRole;
 }
 
-/** Holds which slices are open here, and at which epoch. */
-export class SliceKeeper {
-    private readonly open: Readonly<Record<SliceKind, Map<number, number>>> = {
+/** Tracks which slices are open at this entry, and under which epoch. */
+export class SliceReconciler {
+    private readonly openEpochs: Readonly<Record<SliceKind, Map<number, number>>> = {
         worker: new Map(),
         home: new Map(),
     };
-    /** Slices given up here, with the epoch: they stay closed until the table shows another epoch. */
-    private readonly givenUp = new Map<string, number>();
+    /** Epochs of released slices, by key: a slice stays closed until the table shows another epoch. */
+    private readonly releasedEpochs = new Map<string, number>();
 
-    constructor(private readonly options: SliceKeeperOptions) {
+    constructor(private readonly options: SliceReconcilerOptions) {
         options.ownership.subscribe(() => this.syncAll());
     }
 
-    /** Brings both roles to what the table says. */
+    /** Opens and closes slices of both roles as the current table requires. */
     syncAll(): void {
         const table = this.options.ownership.getTable();
         table?.homeSlices.forEach((entry, slice) =>
@@ -35,40 +35,40 @@
     }
 
     /**
-     * Stops acting on a slice and flushes it, before another gets it.
-     * @returns Whether the slice had been ready.
+     * Stops acting on a slice and flushes it, before it is handed over.
+     * @returns Whether the slice was ready.
      */
     async release(name: SliceName): Promise<boolean> {
         const ready = this.isReady(name);
-        this.releaseEpoch(name, this.open[name.kind].get(name.slice));
+        this.releaseEpoch(name, this.openEpochs[name.kind].get(name.slice));
         await this.close(name, "handOver");
         return ready;
     }
 
-    /** Closes a slice at once: a worker said that it has a newer owner. */
-    drop(kind: SliceKind, slice: number, epoch: number): void {
-        if (this.open[kind].get(slice) === epoch) {
+    /** Closes a slice immediately, after a worker reported a newer owner of it. */
+    closeFenced(kind: SliceKind, slice: number, epoch: number): void {
+        if (this.openEpochs[kind].get(slice) === epoch) {
             this.releaseEpoch({ kind, slice }, epoch);
             void this.close({ kind, slice }, "lost");
         }
     }
 
     private releaseEpoch(name: SliceName, epoch: number | undefined): void {
-        this.open[name.kind].delete(name.slice);
+        this.openEpochs[name.kind].delete(name.slice);
         if (epoch !== undefined) {
-            this.givenUp.set(buildKey(name.kind, name.slice), epoch);
+            this.releasedEpochs.set(buildKey(name.kind, name.slice), epoch);
         }
     }
 
     private sync(kind: SliceKind, slice: number, owner: string | undefined, epoch: number): void {
         const isMine = owner === this.options.memberId;
-        const openEpoch = this.open[kind].get(slice);
+        const openEpoch = this.openEpochs[kind].get(slice);
         if (openEpoch !== undefined && (!isMine || openEpoch !== epoch)) {
-            this.open[kind].delete(slice);
+            this.openEpochs[kind].delete(slice);
             void this.close({ kind, slice }, "lost");
         }
-        if (isMine && openEpoch !== epoch && this.givenUp.get(buildKey(kind, slice)) !== epoch) {
-            this.open[kind].set(slice, epoch);
+        if (isMine && openEpoch !== epoch && this.releasedEpochs.get(buildKey(kind, slice)) !== epoch) {
+            this.openEpochs[kind].set(slice, epoch);
             this.openSlice(kind, slice, epoch);
         }
     }
--- a/src/process/start-entry.ts
+++ b/src/process/start-entry.ts
@@ -1,4 +1,4 @@
-/** Starts an entry with its real ports: the sockets of the running system around {@link createEntry}. */
+/** Starts an entry with its real ports: peer mesh, HTTP server and platform clients. */
 import { randomInt } from "node:crypto";
 import { type Clock, type Millis, sleep } from "../common/clock.js";
 import { createRandom, makeUniqueId, type Random } from "../common/random.js";
@@ -10,10 +10,10 @@
 import type { CallerGateway, Member } from "./roles.js";
 import type { Log, Metrics } from "./telemetry.js";
 
-/** What an entry is started with. */
+/** Options of {@link startEntry}. */
 export interface StartEntryOptions {
     readonly settings: EntrySettings;
-    /** Unique for this life of the process: see {@link makeMemberId}. */
+    /** Unique per incarnation of the process; see {@link makeMemberId}. */
     readonly memberId: string;
     readonly clock: Clock;
     readonly random: Random;
@@ -21,31 +21,30 @@
     readonly metrics: Metrics;
 }
 
-/** An entry that serves. */
+/** An entry that is serving requests. */
 export interface RunningEntry {
     readonly entry: Entry;
-    /** Its addresses as others know them. */
+    /** Its identity and addresses, as other members see them. */
     readonly self: Member;
-    /** Leaves in order: no request in flight is cut off within the settings' shutdown time. */
+    /** Shuts down gracefully: requests in flight may finish within the shutdown time of the settings. */
     leave(): Promise<void>;
 }
 
-/** Share of the shutdown time that the entry's roles get; the rest is for the last answers. */
+/** Share of the shutdown time for the entry's roles; the rest is for sending the last answers. */
 const LEAVE_SHARE = 0.6;
-/** Time for the balancer to see that the readiness check fails, and its part of the shutdown time at most. */
+/** Time for the balancer to see the readiness probe fail, limited to a share of the shutdown time. */
 const BALANCER_NOTICE_MS: Millis = 2_000;
 const BALANCER_NOTICE_SHARE = 0.25;
 const SEED_BOUND = 2 ** 31;
 
-/** Creates a random source with a seed that nobody can foresee. */
+/** Creates a random source with an unpredictable seed. */
 export function createProcessRandom(): Random {
     return createRandom(randomInt(SEED_BOUND));
 }
 
 /**
- * Makes the id of one life of an entry.
+ * Makes the member id of one incarnation of an entry.
  * @param name - Name of the entry in its settings.
- * @param random - Random source of the process.
  */
 export function makeMemberId(name: string, random: Random): string {
     return `${name}-${makeUniqueId(random)}`;
@@ -53,15 +52,15 @@
 
 /**
  * Starts an entry.
- * @param options - Settings and tools.
- * @returns The entry, serving; rejects if a port cannot be had.
+ * @returns The entry, serving requests; rejects if a port cannot be bound.
  */
 export async function startEntry(options: StartEntryOptions): Promise<RunningEntry> {
     const { settings, memberId, clock, random, log, metrics } = options;
-    const tools = { clock, random, log, metrics };
+    const runtime = { clock, random, log, metrics };
     const { listen, advertise, secret } = settings.peers;
-    const peers = await createPeerMesh({ ...tools, ...listen, memberId, cell: settings.cell, secret });
-    // The address is known once the server listens, and the server needs the entry: it is filled in before start.
+    const peers = await createPeerMesh({ ...runtime, ...listen, memberId, cell: settings.cell, secret });
+    // The HTTP server needs the entry, and its port is known only once it listens: `httpUrl` is set before
+    // the start.
     const self = {
         memberId,
         host: advertise?.host ?? listen.host,
@@ -71,7 +70,7 @@
     };
     const ports = buildPlatformPorts(settings, clock);
     const entry = createEntry({
-        ...tools,
+        ...runtime,
         ...ports,
         self,
         peers,
@@ -113,12 +112,12 @@
     return `http://${host.includes(":") ? `[${host}]` : host}:${advertised ?? port}`;
 }
 
-/** Counts calls under way, so that a shutdown waits for their answers. */
+/** Counts the calls in flight, so that a shutdown waits for their answers. */
 function trackCalls(entry: Entry): CallerGateway {
     const { callers } = entry;
     async function track<Result>(call: Promise<Result>): Promise<Result> {
-        const end = entry.track();
-        return await call.finally(end);
+        const endTracking = entry.track();
+        return await call.finally(endTracking);
     }
     return {
         findRefusal: () => callers.findRefusal(),
@@ -135,8 +134,8 @@
     ports: ReturnType<typeof buildPlatformPorts>,
 ): Promise<void> {
     http.startDraining();
-    // The balancer notices the failed readiness check only at its next look. What it sends until then is still taken:
-    // closing at once shows as connections that break under requests that were never read.
+    // The balancer sees the failing readiness probe only when it probes next, and sends requests until then.
+    // They are still accepted: closing now would break connections whose requests had not been read.
     await sleep(clock, Math.min(BALANCER_NOTICE_MS, settings.shutdownMs * BALANCER_NOTICE_SHARE));
     await entry.leave();
     await http.close(settings.shutdownMs * (1 - LEAVE_SHARE - BALANCER_NOTICE_SHARE));
--- a/src/process/store-client.ts
+++ b/src/process/store-client.ts
@@ -1,32 +1,33 @@
 /**
- * What the roles see of the store: calls with deadlines, a budget, and no `unknown` that a read could settle.
+ * The store as the roles see it: calls have deadlines and a shared budget, and a write reports `unknown` only
+ * if reading the record back could not settle its outcome.
  */
 import type { Millis } from "../common/clock.js";
 import type { StoreListing, StoreRecord, StoreSwap } from "./ports/store-port.js";
 
-/** A write as the roles ask for it. The client wraps `value` in an envelope with a unique write id. */
+/** A write requested by a role. The client wraps `value` in an envelope with a unique write id. */
 export interface StoreWrite extends StoreSwap {
-    /** Milliseconds to keep trying. */
-    readonly patienceMs: Millis;
-    /** Whether the write is needed to keep ownership; such writes go first and past the budget. */
+    /** Time during which the write is attempted. */
+    readonly timeoutMs: Millis;
+    /** Whether ownership depends on the write; such writes go first and are exempt from the budget. */
     readonly vital?: boolean;
 }
 
 /** Result of a write. */
 export type WriteResult =
-    /** It is in the store. */
+    /** The write is in the store. */
     | { readonly kind: "done"; readonly revision: number; }
-    /** It is surely not and never will be; `current` is what stands there, unwrapped. */
+    /** Not in the store and never will be; `current` is the existing record without its envelope. */
     | { readonly kind: "refused"; readonly current: StoreRecord | undefined; }
-    /** The lease that it named has lapsed; it is not in the store. */
+    /** Not written: the lease that the write names has expired. */
     | { readonly kind: "noLease"; }
-    /** The value is over the store's limit; it is not in the store. */
+    /** Not written: the value exceeds the store's size limit. */
     | { readonly kind: "tooLarge"; }
-    /** Another record stands there now; ours may have stood there in between. */
+    /** The key now holds a different record; the write may have been in the store in the meantime. */
     | { readonly kind: "superseded"; readonly current: StoreRecord | undefined; }
-    /** Surely without effect: the store was never reached within the patience. */
+    /** Certainly without effect: the store was not reached within the timeout. */
     | { readonly kind: "unavailable"; readonly message: string; }
-    /** Nobody can tell yet: the answer was lost and the read back failed within the patience. */
+    /** Undetermined: the answer was lost, and reading the record back failed within the timeout. */
     | { readonly kind: "unknown"; readonly message: string; };
 
 /** Result of a read. */
@@ -34,41 +35,41 @@
     | { readonly kind: "done"; readonly value: Value; }
     | { readonly kind: "unavailable"; readonly message: string; };
 
-/** Told of changes under a prefix, in the order of the store, each once. */
+/** Receives the changes under a prefix, each once and in the order of the store. */
 export interface WatchListener {
-    /** All records at the start, and again after a gap that the store could not fill. */
+    /** Receives all records at the start, and again after a gap that the store could not fill. */
     replaceAll(listing: StoreListing): void;
-    /** One change; `value` is undefined for a deletion. */
+    /** Receives one change; `value` is undefined for a deletion. */
     applyEvent(key: string, value: string | undefined, revision: number): void;
 }
 
-/** A watch that is running. */
+/** Handle of an active watch. */
 export interface WatchHandle {
     stop(): void;
 }
 
-/** Calls to the store for the roles of one entry. Values are without the client's envelope. */
+/** Client of the store for the roles of one entry. Values exclude the client's envelope. */
 export interface StoreClient {
-    read(key: string, patienceMs: Millis): Promise<ReadResult<StoreRecord | undefined>>;
-    list(prefix: string, patienceMs: Millis): Promise<ReadResult<StoreListing>>;
+    read(key: string, timeoutMs: Millis): Promise<ReadResult<StoreRecord | undefined>>;
+    list(prefix: string, timeoutMs: Millis): Promise<ReadResult<StoreListing>>;
     write(write: StoreWrite): Promise<WriteResult>;
-    /** Follows a prefix until stopped: lists, then polls, and lists again after a gap. */
+    /** Follows a prefix until stopped: lists it, polls for changes, and lists it again after a gap. */
     watch(prefix: string, listener: WatchListener): WatchHandle;
-    grantLease(ttlMs: Millis, patienceMs: Millis): Promise<ReadResult<string>>;
-    /** One try; `lapsed` means that the store says the lease is gone. */
+    grantLease(ttlMs: Millis, timeoutMs: Millis): Promise<ReadResult<string>>;
+    /** Makes a single attempt; `lapsed` means that the store reported the lease as expired. */
     renewLease(leaseId: string, timeoutMs: Millis): Promise<"done" | "lapsed" | "unavailable">;
     revokeLease(leaseId: string): Promise<void>;
-    /** Instant of the last call that the store answered, counted from when that call was sent. */
+    /** Instant at which the last call that the store answered was sent. */
     getLastContact(): Millis | undefined;
     /**
-     * Instant up to which every running watch surely shows all changes: that of sending of its last poll or listing
-     * that was answered. Other calls say nothing of what the watches have missed.
-     * @returns The earliest over all watches; undefined while one of them, or none, has been answered.
+     * Instant up to which every active watch certainly has all changes: when its last answered poll or
+     * listing was sent. Other calls do not count, since they do not show what a watch has missed.
+     * @returns The earliest instant over all watches; undefined if there is none or one has no answer yet.
      */
     getLastWatchContact(): Millis | undefined;
-    /** Sets the share of the cell's budget that this entry may use: called when members change. */
+    /** Sets this entry's share of the cell's budget; called when the members change. */
     setBudget(writesPerSecond: number, readsPerSecond: number): void;
-    /** Calls so far, by kind, for metrics and `status`. */
+    /** Number of calls so far by kind, for metrics and `status`. */
     getCounters(): Readonly<
         Record<"reads" | "writes" | "polls" | "leases" | "failures" | "unknowns", number>
     >;
--- a/src/process/store/backoff.ts
+++ b/src/process/store/backoff.ts
@@ -1,17 +1,18 @@
-/** Waiting times between tries: exponential with jitter. */
+/** Delays between attempts: exponential backoff with jitter. */
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 
-const FIRST_DELAY_MS = 50;
-const LONGEST_DELAY_MS = 2_000;
+const INITIAL_DELAY_MS = 50;
+const MAX_DELAY_MS = 2_000;
 
 /**
- * Computes the wait before the next try.
- * @param tries - Tries that have failed so far, at least 1.
- * @param random - For the jitter: entries that lost the store together must not come back together.
- * @returns Milliseconds: between half of and the whole of a delay that doubles up to a limit.
+ * Computes the delay before the next attempt.
+ * @param attempts - Number of failed attempts so far, at least 1.
+ * @param random - Source of the jitter, which keeps entries that lost the store at the same time from
+ * retrying together.
+ * @returns Milliseconds: between 50% and 100% of a delay that doubles up to a limit.
  */
-export function computeBackoff(tries: number, random: Random): Millis {
-    const delay = Math.min(LONGEST_DELAY_MS, FIRST_DELAY_MS * 2 ** (tries - 1));
+export function computeBackoff(attempts: number, random: Random): Millis {
+    const delay = Math.min(MAX_DELAY_MS, INITIAL_DELAY_MS * 2 ** (attempts - 1));
     return delay / 2 + random.pickFraction() * (delay / 2);
 }
