--- a/src/process/store/create-store-client.ts
+++ b/src/process/store/create-store-client.ts
@@ -19,24 +19,21 @@
 import { WatchLoop } from "./watch-loop.js";
 import { runWrite } from "./write-operation.js";
 
-/** What a store client needs. */
+/** Dependencies of a store client. */
 export interface StoreClientOptions {
     readonly port: StorePort;
     readonly clock: Clock;
     readonly random: Random;
     readonly metrics: Metrics;
     readonly log: Log;
-    /** Unique for this life of the entry; write ids begin with it. */
+    /** Unique for this incarnation of the entry; prefix of its write ids. */
     readonly memberId: string;
 }
 
-/** Milliseconds to try to end a lease; if it fails, the lease ends by itself. */
-const REVOKE_PATIENCE_MS = 2_000;
+/** Time limit for revoking a lease; if revoking fails, the lease expires by itself. */
+const REVOKE_TIMEOUT_MS = 2_000;
 
-/**
- * Creates the store client of an entry.
- * @param options - The port and its helpers.
- */
+/** Creates the store client of an entry. */
 export function createStoreClient(options: StoreClientOptions): StoreClient {
     return new PortStoreClient(options);
 }
@@ -44,7 +41,7 @@
 class PortStoreClient implements StoreClient {
     private readonly calls: StoreCalls;
     private readonly context: OperationContext;
-    private readonly known = new KnownRevisions();
+    private readonly knownRevisions = new KnownRevisions();
     private readonly watches = new Set<WatchLoop>();
 
     constructor(private readonly options: StoreClientOptions) {
@@ -52,19 +49,19 @@
         this.context = { calls: this.calls, random: options.random, log: options.log };
     }
 
-    async read(key: string, patienceMs: Millis): Promise<ReadResult<StoreRecord | undefined>> {
-        const deadline = this.getDeadline(patienceMs);
-        const result = await readRecord(this.context, key, deadline, this.known.get(key));
+    async read(key: string, timeoutMs: Millis): Promise<ReadResult<StoreRecord | undefined>> {
+        const deadline = this.getDeadline(timeoutMs);
+        const result = await readRecord(this.context, key, deadline, this.knownRevisions.get(key));
         if (result.kind === "done" && result.value !== undefined) {
-            this.known.observe(key, result.value.revision);
+            this.knownRevisions.observe(key, result.value.revision);
         }
         return result;
     }
 
-    async list(prefix: string, patienceMs: Millis): Promise<ReadResult<StoreListing>> {
-        const result = await listRecords(this.context, prefix, this.getDeadline(patienceMs));
+    async list(prefix: string, timeoutMs: Millis): Promise<ReadResult<StoreListing>> {
+        const result = await listRecords(this.context, prefix, this.getDeadline(timeoutMs));
         if (result.kind === "done") {
-            result.value.records.forEach(record => this.known.observe(record.key, record.revision));
+            result.value.records.forEach(record => this.knownRevisions.observe(record.key, record.revision));
         }
         return result;
     }
@@ -73,10 +70,10 @@
         const writeId = `${this.options.memberId}.${makeUniqueId(this.options.random)}`;
         const result = await runWrite(this.context, write, writeId);
         if (result.kind === "done") {
-            this.known.observe(write.key, result.revision);
+            this.knownRevisions.observe(write.key, result.revision);
         }
         if (result.kind === "refused" || result.kind === "superseded") {
-            this.known.observe(write.key, result.current?.revision ?? 0);
+            this.knownRevisions.observe(write.key, result.current?.revision ?? 0);
         }
         return result;
     }
@@ -88,10 +85,10 @@
         return loop;
     }
 
-    grantLease(ttlMs: Millis, patienceMs: Millis): Promise<ReadResult<string>> {
+    grantLease(ttlMs: Millis, timeoutMs: Millis): Promise<ReadResult<string>> {
         return retryCall(this.context, {
             kind: "leases",
-            deadline: this.getDeadline(patienceMs),
+            deadline: this.getDeadline(timeoutMs),
             send: timeout => this.calls.port.grantLease(ttlMs, timeout),
         });
     }
@@ -110,7 +107,7 @@
     async revokeLease(leaseId: string): Promise<void> {
         await retryCall(this.context, {
             kind: "leases",
-            deadline: this.getDeadline(REVOKE_PATIENCE_MS),
+            deadline: this.getDeadline(REVOKE_TIMEOUT_MS),
             send: timeout => this.calls.port.revokeLease(leaseId, timeout),
         });
     }
@@ -123,7 +120,7 @@
         let earliest: Millis | undefined;
         for (const watch of this.watches) {
             const contact = watch.getLastContact();
-            if (watch.isOver()) {
+            if (watch.isStopped()) {
                 this.watches.delete(watch);
                 continue;
             }
@@ -147,7 +144,7 @@
         this.calls.close();
     }
 
-    private getDeadline(patience: Millis): Millis {
-        return this.calls.clock.now() + patience;
+    private getDeadline(timeout: Millis): Millis {
+        return this.calls.clock.now() + timeout;
     }
 }
--- a/src/process/store/envelope.ts
+++ b/src/process/store/envelope.ts
@@ -1,9 +1,9 @@
 /**
- * The envelope around every value in the store: the format, so that an older program refuses what a newer one
- * wrote, and a write id, so that a write whose answer was lost can be recognised.
+ * The envelope around every value in the store. Its format number lets an older program refuse values that a
+ * newer one wrote; its write id identifies a write whose answer was lost.
  */
 
-/** The format that this program writes and the highest that it reads. */
+/** Format that this program writes, and the highest that it can read. */
 export const ENVELOPE_FORMAT = 1;
 
 /** A value read from the store. */
@@ -15,18 +15,14 @@
     | { readonly kind: "corrupt"; };
 
 /**
- * Wraps a value.
- * @param writeId - Unique for each write; equal for its retries.
- * @param data - The value.
+ * Wraps a value in an envelope.
+ * @param writeId - Unique for each write; the same for all attempts of that write.
  */
 export function encodeEnvelope(writeId: string, data: string): string {
     return JSON.stringify({ format: ENVELOPE_FORMAT, writeId, data });
 }
 
-/**
- * Unwraps a value.
- * @param text - What stands in the store.
- */
+/** Decodes an envelope as read from the store. */
 export function decodeEnvelope(text: string): DecodedEnvelope {
     const parsed = parseObject(text);
     if (parsed === undefined || typeof parsed.format !== "number") {
--- a/src/process/store/index.ts
+++ b/src/process/store/index.ts
@@ -1,4 +1,4 @@
-/** The store client: true results of writes, watches without gaps, a budget of calls. */
+/** The store client: definite results of writes, watches without gaps, rate-limited calls. */
 export { createStoreClient } from "./create-store-client.js";
 export type { StoreClientOptions } from "./create-store-client.js";
 export { decodeEnvelope, encodeEnvelope, ENVELOPE_FORMAT } from "./envelope.js";
--- a/src/process/store/known-revisions.ts
+++ b/src/process/store/known-revisions.ts
@@ -1,13 +1,16 @@
-/** The last known revision of keys, so that a stale read of them is recognised. */
+/** Remembers the highest known revision of keys, to detect stale reads. */
 
-/** Keys remembered; the oldest are forgotten first, and a stale read of those goes unnoticed. */
+/**
+ * Maximum number of keys; the least recently updated are evicted first, and stale reads of those go
+ * undetected.
+ */
 const MAX_KEYS = 4_096;
 
 /** A bounded map from key to revision. */
 export class KnownRevisions {
     private readonly revisions = new Map<string, number>();
 
-    /** Takes in that a key stood at a revision. */
+    /** Records that a key was seen at a revision. */
     observe(key: string, revision: number): void {
         if (revision <= this.get(key)) {
             return;
@@ -20,7 +23,7 @@
         }
     }
 
-    /** Returns the highest revision known of a key, 0 if none. */
+    /** Returns the highest known revision of a key, or 0 if none is known. */
     get(key: string): number {
         return this.revisions.get(key) ?? 0;
     }
--- a/src/process/store/prefix-follower.ts
+++ b/src/process/store/prefix-follower.ts
@@ -1,46 +1,48 @@
 /**
- * Follows the records under a prefix that others write: lists, then polls from the revision reached, and lists
- * again after a gap. Values are passed on as they stand.
+ * Follows records under a prefix that other programs write: lists them, polls for changes from the listed
+ * revision, and lists again after a gap. Values have no envelope and are passed on unchanged.
  */
 import { sleep } from "../../common/clock.js";
 import type { Clock, Millis } from "../../common/clock.js";
 import type { StoreAnswer, StoreChanges, StoreListing, StorePort } from "../ports/index.js";
 import type { Log } from "../telemetry.js";
 
-/** Told of the records. */
+/** Receives the records and their changes. */
 export interface PrefixListener {
-    /** All records: at the start, and after a gap that the history no longer covers. */
+    /** Receives all records: at the start, and after a gap that the store's history no longer covers. */
     replaceAll(listing: StoreListing): void;
-    /** One change, in the order of the store. */
+    /** Receives one change, in the store's order; `value` is undefined for a deletion. */
     applyEvent(key: string, value: string | undefined): void;
-    /** The changes of one answer have all been passed on. */
+    /** Called after all changes of one poll have been passed on. */
     finishBatch?(): void;
 }
 
-/** What a follower is made from. */
+/** Options of {@link PrefixFollower}. */
 export interface PrefixFollowerOptions {
     readonly port: StorePort;
     readonly clock: Clock;
     readonly log: Log;
     readonly prefix: string;
     readonly listener: PrefixListener;
-    /** Pause between two polls: it bounds the calls, and changes of the pause come together. */
+    /** Pause between two polls: limits the call rate and batches the changes made in the meantime. */
     readonly pauseMs: Millis;
 }
 
-/** How long the store may hold a poll: a connection that went silent is noticed this much later. */
+/**
+ * How long the store may hold a poll without changes; also the delay until a silent connection is noticed.
+ */
 const POLL_WAIT_MS: Millis = 1_000;
 const LIST_TIMEOUT_MS: Millis = 600;
-/** A slow store is given more time after each timeout, up to this. */
-const LONGEST_LIST_TIMEOUT_MS: Millis = 5_000;
-const RETRY_PAUSE_MS: Millis = 100;
+/** Limit of the list timeout, which doubles after each failed listing so that a slow store can answer. */
+const MAX_LIST_TIMEOUT_MS: Millis = 5_000;
+const RETRY_DELAY_MS: Millis = 100;
 
-/** A follower; see the module comment. */
+/** Keeps a {@link PrefixListener} up to date with the records under one prefix. */
 export class PrefixFollower {
     private stopped = false;
     private position: number | undefined;
     private listTimeout = LIST_TIMEOUT_MS;
-    private isAway = false;
+    private isStoreUnavailable = false;
 
     constructor(private readonly options: PrefixFollowerOptions) {}
 
@@ -49,12 +51,12 @@
         const { clock, pauseMs } = this.options;
         while (!this.stopped) {
             const ok = this.position === undefined ? await this.list() : await this.poll(this.position);
-            this.reportChange(ok);
-            await sleep(clock, ok ? pauseMs : RETRY_PAUSE_MS);
+            this.reportAvailability(ok);
+            await sleep(clock, ok ? pauseMs : RETRY_DELAY_MS);
         }
     }
 
-    /** Follows no more; a poll under way ends unheard. */
+    /** Stops following; the result of a poll in flight is ignored. */
     stop(): void {
         this.stopped = true;
     }
@@ -66,7 +68,7 @@
             return false;
         }
         if (answer.kind !== "done") {
-            this.listTimeout = Math.min(LONGEST_LIST_TIMEOUT_MS, this.listTimeout * 2);
+            this.listTimeout = Math.min(MAX_LIST_TIMEOUT_MS, this.listTimeout * 2);
             return false;
         }
         this.listTimeout = LIST_TIMEOUT_MS;
@@ -89,7 +91,7 @@
             this.position = undefined;
             return true;
         }
-        // An answer that ends before our position comes from a copy that lags.
+        // An answer below the current position comes from a lagging replica of the store.
         if (answer.kind !== "done" || answer.value.revision < position) {
             return false;
         }
@@ -106,11 +108,11 @@
         return true;
     }
 
-    private reportChange(ok: boolean): void {
-        if (ok === !this.isAway) {
+    private reportAvailability(ok: boolean): void {
+        if (ok === !this.isStoreUnavailable) {
             return;
         }
-        this.isAway = !ok;
+        this.isStoreUnavailable = !ok;
         const { log, prefix } = this.options;
         if (ok) {
             log.info("storeRegained", { prefix });
--- a/src/process/store/read-operation.ts
+++ b/src/process/store/read-operation.ts
@@ -1,4 +1,4 @@
-/** Reads with retries: answers that are older than what was seen before are discarded. */
+/** Reads with retries; answers older than a revision already seen are discarded. */
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
@@ -9,79 +9,71 @@
 import { decodeRecord } from "./record-codec.js";
 import type { CallKind, StoreCalls } from "./store-calls.js";
 
-/** What operations on the store need. */
+/** Dependencies of operations on the store. */
 export interface OperationContext {
     readonly calls: StoreCalls;
     readonly random: Random;
     readonly log: Log;
 }
 
-/** A call that is tried until it is answered. */
+/** An idempotent call that is retried until it is answered. */
 export interface RetriedCall<Value> {
     readonly kind: CallKind;
     readonly deadline: Millis;
     readonly send: (timeout: Millis) => Promise<StoreAnswer<Value>>;
-    /** Whether an answer is of use; others are tried again. */
+    /** Whether an answer is usable; otherwise the call is retried. */
     readonly isUsable?: (value: Value) => boolean;
 }
 
-/**
- * Makes a call that may be repeated freely until it is answered or its time is over.
- * @param context - The store and its helpers.
- * @param call - The call.
- */
+/** Retries an idempotent call with backoff until it is answered or its deadline has passed. */
 export async function retryCall<Value>(
     context: OperationContext,
     call: RetriedCall<Value>,
 ): Promise<ReadResult<Value>> {
     const { calls, random } = context;
     let message = "no try was made";
-    for (let tries = 1;; tries++) {
+    for (let attempts = 1;; attempts++) {
         const answer = await calls.request(call, (...[, timeout]) => call.send(timeout));
         if (answer.kind === "done" && (call.isUsable?.(answer.value) ?? true)) {
             return { kind: "done", value: answer.value };
         }
         message = describeFailure(answer);
-        const wait = computeBackoff(tries, random);
-        if (calls.isClosed() || calls.clock.now() + wait >= call.deadline) {
+        const delay = computeBackoff(attempts, random);
+        if (calls.isClosed() || calls.clock.now() + delay >= call.deadline) {
             return { kind: "unavailable", message };
         }
-        await sleep(calls.clock, wait);
+        await sleep(calls.clock, delay);
     }
 }
 
 /**
- * Reads all records under a prefix, without envelopes.
- * @param context - The store and its helpers.
- * @param prefix - Keys to read.
- * @param deadline - Instant to give up.
+ * Reads all records under a prefix, without envelopes. Fails if one of them cannot be decoded.
+ * @param deadline - Instant at which to stop retrying.
  */
 export async function listRecords(
     context: OperationContext,
     prefix: string,
     deadline: Millis,
 ): Promise<ReadResult<StoreListing>> {
-    const listing = await listRaw(context, prefix, deadline);
+    const listing = await listEncoded(context, prefix, deadline);
     if (listing.kind !== "done") {
         return listing;
     }
     const records: StoreRecord[] = [];
-    for (const raw of listing.value.records) {
-        const unwrapped = decodeRecord(raw, context.log);
-        if (unwrapped.kind === "refused") {
-            return { kind: "unavailable", message: unwrapped.message };
+    for (const encoded of listing.value.records) {
+        const decoded = decodeRecord(encoded, context.log);
+        if (decoded.kind === "refused") {
+            return { kind: "unavailable", message: decoded.message };
         }
-        records.push(unwrapped.value.record);
+        records.push(decoded.value.record);
     }
     return { kind: "done", value: { records, revision: listing.value.revision } };
 }
 
 /**
  * Reads one record, without its envelope.
- * @param context - The store and its helpers.
- * @param key - Its key.
- * @param deadline - Instant to give up.
- * @param knownRevision - Revision at which the key is known to have stood, 0 if none: an older answer is stale.
+ * @param deadline - Instant at which to stop retrying.
+ * @param knownRevision - Highest known revision of the key, 0 if none; an answer with a lower one is stale.
  */
 export async function readRecord(
     context: OperationContext,
@@ -102,16 +94,16 @@
         return fresh;
     }
     context.calls.observeRevision(fresh.value.revision);
-    const unwrapped = decodeRecord(fresh.value, context.log);
-    return unwrapped.kind === "done" ?
-        { kind: "done", value: unwrapped.value.record } :
-        { kind: "unavailable", message: unwrapped.message };
+    const decoded = decodeRecord(fresh.value, context.log);
+    return decoded.kind === "done" ?
+        { kind: "done", value: decoded.value.record } :
+        { kind: "unavailable", message: decoded.message };
 }
 
 /**
- * Guards against a read served by a copy of the store that lags: it shows as a record older than one known, or as
- * no record where one is known. A listing carries the store's revision, so one at or above the highest seen
- * cannot be from before.
+ * Detects a read served by a lagging replica of the store (a record older than a known one, or none where one
+ * is known) and replaces it by a listing. A listing carries the store's revision, so one at or above the
+ * highest revision seen cannot be stale.
  */
 async function ensureFresh(
     context: OperationContext,
@@ -123,24 +115,24 @@
     if ((record?.revision ?? 0) >= knownRevision) {
         return { kind: "done", value: record };
     }
-    const listing = await listRaw(context, key, deadline);
+    const listing = await listEncoded(context, key, deadline);
     return listing.kind === "done" ?
         { kind: "done", value: listing.value.records.find(candidate => candidate.key === key) } :
         listing;
 }
 
-async function listRaw(
+async function listEncoded(
     context: OperationContext,
     prefix: string,
     deadline: Millis,
 ): Promise<ReadResult<StoreListing>> {
     const { calls } = context;
-    const floor = calls.getSeenRevision();
+    const minRevision = calls.getHighestRevision();
     const listing = await retryCall(context, {
         kind: "reads",
         deadline,
         send: timeout => calls.port.list(prefix, timeout),
-        isUsable: value => value.revision >= floor,
+        isUsable: value => value.revision >= minRevision,
     });
     if (listing.kind === "done") {
         calls.observeRevision(listing.value.revision);
--- a/src/process/store/record-codec.ts
+++ b/src/process/store/record-codec.ts
@@ -1,30 +1,26 @@
-/** Unwraps records of the store and refuses, aloud, those that this program cannot read. */
+/** Decodes records of the store; rejects those that this program cannot read, with a warning. */
 import type { StoreRecord } from "../ports/index.js";
 import type { Log } from "../telemetry.js";
 import { decodeEnvelope, ENVELOPE_FORMAT } from "./envelope.js";
 
 /** A record without its envelope. */
-export interface UnwrappedRecord {
+export interface DecodedRecord {
     readonly record: StoreRecord;
     readonly writeId: string;
 }
 
-/** Result of unwrapping. */
-export type Unwrapped =
-    | { readonly kind: "done"; readonly value: UnwrappedRecord; }
+/** Result of {@link decodeRecord}. */
+export type DecodeResult =
+    | { readonly kind: "done"; readonly value: DecodedRecord; }
     | { readonly kind: "refused"; readonly message: string; };
 
-/** Code of the warning about a record that is damaged. */
+/** Code of the warning about a damaged record. */
 export const CORRUPT_RECORD_CODE = "CR2101";
-/** Code of the warning about a record that a newer program wrote. */
+/** Code of the warning about a record written by a newer program. */
 export const NEWER_RECORD_CODE = "CR2102";
 
-/**
- * Unwraps a record.
- * @param record - As it stands in the store.
- * @param log - Told of a record that is refused.
- */
-export function decodeRecord(record: StoreRecord, log: Log): Unwrapped {
+/** Removes the envelope of a record; logs a warning if the record cannot be read. */
+export function decodeRecord(record: StoreRecord, log: Log): DecodeResult {
     const decoded = decodeEnvelope(record.value);
     switch (decoded.kind) {
         case "value":
--- a/src/process/store/store-calls.ts
+++ b/src/process/store/store-calls.ts
@@ -1,34 +1,34 @@
 /**
- * Single calls to the store: budget, timeouts, counters, last contact, and the highest revision seen.
- * Retries are built on top of it.
+ * Single calls to the store, without retries: rate limits, timeouts, counters, last contact, and the highest
+ * revision seen.
  */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { StoreAnswer, StorePort } from "../ports/index.js";
 import type { StoreClient } from "../store-client.js";
 import type { Metrics } from "../telemetry.js";
-import { CallTimeout } from "./call-timeout.js";
+import { AdaptiveTimeout } from "./adaptive-timeout.js";
 import { TokenBucket } from "./token-bucket.js";
 
-/** Kinds of calls that are counted. */
+/** Kinds of calls, counted separately. */
 export type CallKind = "reads" | "writes" | "polls" | "leases";
 
-/** How a single call is made. */
+/** Options of a single call. */
 export interface CallOptions {
     readonly kind: CallKind;
-    /** Instant by which the caller wants the end. */
+    /** Instant by which the call must have ended. */
     readonly deadline: Millis;
-    /** Whether it passes the budget. */
+    /** Whether the call is sent even if the budget is used up. */
     readonly vital?: boolean;
-    /** Milliseconds to wait for the answer; learnt from earlier calls where left out. */
+    /** Timeout in milliseconds; by default derived from the response times of earlier calls. */
     readonly timeout?: Millis;
 }
 
-/** Share of the cell's budget until the number of members is known. */
-const FIRST_WRITES_PER_SECOND = 40;
-const FIRST_READS_PER_SECOND = 200;
+/** This entry's share of the cell's budget until the number of members is known. */
+const INITIAL_WRITES_PER_SECOND = 40;
+const INITIAL_READS_PER_SECOND = 200;
 
-const NO_BUDGET = { kind: "unavailable", message: "the budget of store calls is used up" } as const;
-const NO_TIME = { kind: "unavailable", message: "no time is left for a try" } as const;
+const BUDGET_EXHAUSTED = { kind: "unavailable", message: "the budget of store calls is used up" } as const;
+const DEADLINE_PASSED = { kind: "unavailable", message: "no time is left for a try" } as const;
 
 /** Calls of one entry to its store. */
 export class StoreCalls {
@@ -40,39 +40,34 @@
         failures: 0,
         unknowns: 0,
     };
-    private readonly timeout = new CallTimeout();
+    private readonly timeout = new AdaptiveTimeout();
     private readonly writeBudget: TokenBucket;
     private readonly readBudget: TokenBucket;
     private lastContact: Millis | undefined;
-    private seenRevision = 0;
+    private highestRevision = 0;
     private closed = false;
 
-    /**
-     * @param port - The store.
-     * @param clock - Where time comes from.
-     * @param metrics - Where calls are counted.
-     */
     constructor(readonly port: StorePort, readonly clock: Clock, private readonly metrics: Metrics) {
-        this.writeBudget = new TokenBucket(clock, FIRST_WRITES_PER_SECOND);
-        this.readBudget = new TokenBucket(clock, FIRST_READS_PER_SECOND);
+        this.writeBudget = new TokenBucket(clock, INITIAL_WRITES_PER_SECOND);
+        this.readBudget = new TokenBucket(clock, INITIAL_READS_PER_SECOND);
     }
 
     /**
-     * Makes one call.
-     * @param options - Its kind and limits.
-     * @param call - Makes the call on the port, with the timeout given.
+     * Makes one call, waiting for the budget first.
+     * @param call - Makes the call on the port with the given timeout.
+     * @returns The answer; `unavailable` if the budget or the deadline did not allow the call.
      */
     async request<Value>(
         options: CallOptions,
         call: (port: StorePort, timeout: Millis) => Promise<StoreAnswer<Value>>,
     ): Promise<StoreAnswer<Value>> {
         if (!await this.takeBudget(options)) {
-            return NO_BUDGET;
+            return BUDGET_EXHAUSTED;
         }
         const sentAt = this.clock.now();
         const timeout = Math.min(options.timeout ?? this.timeout.get(), options.deadline - sentAt);
         if (timeout <= 0 || this.closed) {
-            return NO_TIME;
+            return DEADLINE_PASSED;
         }
         this.counters[options.kind]++;
         this.metrics.count("store.calls", 1, { kind: options.kind });
@@ -81,43 +76,43 @@
         return answer;
     }
 
-    /** Returns the time that a call is waited for now, in milliseconds. */
+    /** Returns the current adaptive timeout, in milliseconds. */
     getTimeout(): Millis {
         return this.timeout.get();
     }
 
-    /** Takes in a revision that the store has shown. */
+    /** Records a revision reported by the store. */
     observeRevision(revision: number): void {
-        this.seenRevision = Math.max(this.seenRevision, revision);
+        this.highestRevision = Math.max(this.highestRevision, revision);
     }
 
-    /** Returns the highest revision that the store has shown. */
-    getSeenRevision(): number {
-        return this.seenRevision;
+    /** Returns the highest revision reported by the store so far. */
+    getHighestRevision(): number {
+        return this.highestRevision;
     }
 
-    /** Returns the sending instant of the last call that was answered. */
+    /** Returns when the last answered call was sent; undefined if none was answered. */
     getLastContact(): Millis | undefined {
         return this.lastContact;
     }
 
-    /** Returns calls so far by kind. */
+    /** Returns the numbers of calls, failures and unknown outcomes so far. */
     getCounters(): ReturnType<StoreClient["getCounters"]> {
         return { ...this.counters };
     }
 
-    /** Sets this entry's share of the cell's budget. */
+    /** Sets this entry's share of the cell's call budget. */
     setBudget(writesPerSecond: number, readsPerSecond: number): void {
         this.writeBudget.setRate(writesPerSecond);
         this.readBudget.setRate(readsPerSecond);
     }
 
-    /** Tells whether no more calls are made. */
+    /** Returns whether {@link close} was called. */
     isClosed(): boolean {
         return this.closed;
     }
 
-    /** Makes no more calls. */
+    /** Stops all further calls and rejects those that wait for the budget. */
     close(): void {
         this.closed = true;
         this.writeBudget.close();
@@ -130,7 +125,7 @@
         }
         const budget = options.kind === "writes" ? this.writeBudget : this.readBudget;
         if (options.vital ?? false) {
-            budget.takeAnyway();
+            budget.takeUnconditionally();
             return Promise.resolve(true);
         }
         return budget.take(options.deadline);
@@ -142,12 +137,12 @@
         sentAt: Millis,
         timeout: Millis,
     ): void {
-        const took = this.clock.now() - sentAt;
-        this.metrics.time("store.call_ms", took, { kind: options.kind });
+        const responseTime = this.clock.now() - sentAt;
+        this.metrics.time("store.call_ms", responseTime, { kind: options.kind });
         if (answer.kind === "done" || answer.kind === "refused") {
             this.lastContact = Math.max(this.lastContact ?? sentAt, sentAt);
             if (options.kind !== "polls") {
-                this.timeout.observeAnswer(took);
+                this.timeout.observeAnswer(responseTime);
             }
             return;
         }
--- a/src/process/store/token-bucket.ts
+++ b/src/process/store/token-bucket.ts
@@ -1,4 +1,4 @@
-/** A budget of calls per second. */
+/** Rate limit for calls. */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 
 interface Waiter {
@@ -6,26 +6,25 @@
     readonly settle: (granted: boolean) => void;
 }
 
-/** Callers that may wait for the budget at once; more are told at once that there is none. */
+/** Maximum number of waiting callers; further ones are rejected immediately. */
 const MAX_WAITERS = 2_000;
 
-/** A token bucket whose callers wait in order. */
+/** A token bucket that serves waiting callers in FIFO order. */
 export class TokenBucket {
     private readonly waiters: Waiter[] = [];
     private tokens: number;
-    private refilledAt: Millis;
+    private lastRefillAt: Millis;
     private timer: Timer | undefined;
 
     /**
-     * @param clock - Where time comes from.
      * @param rate - Tokens per second.
      */
     constructor(private readonly clock: Clock, private rate: number) {
         this.tokens = this.getBurst();
-        this.refilledAt = clock.now();
+        this.lastRefillAt = clock.now();
     }
 
-    /** Changes the rate from now on. */
+    /** Sets the rate, in tokens per second. */
     setRate(rate: number): void {
         this.fill();
         this.rate = Math.max(rate, MIN_RATE);
@@ -34,9 +33,9 @@
     }
 
     /**
-     * Takes a token, waiting for one if there is none.
-     * @param deadline - Instant after which it is no longer wanted.
-     * @returns Whether it was granted in time.
+     * Takes a token, waiting for one if none is available.
+     * @param deadline - Instant after which the token is no longer needed.
+     * @returns Whether a token was granted by the deadline.
      */
     take(deadline: Millis): Promise<boolean> {
         this.fill();
@@ -53,29 +52,29 @@
         });
     }
 
-    /** Takes a token whether or not there is one; others wait longer for it. */
-    takeAnyway(): void {
+    /** Takes a token even if none is available; the debt, at most one burst, delays other callers. */
+    takeUnconditionally(): void {
         this.fill();
         this.tokens = Math.max(this.tokens - 1, -this.getBurst());
     }
 
-    /** Refuses all that wait. */
+    /** Rejects all waiting callers. */
     close(): void {
         this.timer?.cancel();
         this.timer = undefined;
         this.waiters.splice(0).forEach(waiter => waiter.settle(false));
     }
 
-    /** One second's worth, so that a quiet entry may write a group at once. */
+    /** Capacity: the tokens of one second, so that an idle entry can send a group of writes at once. */
     private getBurst(): number {
         return Math.max(1, this.rate);
     }
 
     private fill(): void {
         const now = this.clock.now();
-        const earned = (now - this.refilledAt) / 1_000 * this.rate;
+        const earned = (now - this.lastRefillAt) / 1_000 * this.rate;
         this.tokens = Math.min(this.getBurst(), this.tokens + earned);
-        this.refilledAt = now;
+        this.lastRefillAt = now;
     }
 
     private scheduleGrant(): void {
@@ -93,19 +92,19 @@
     private grantWaiting(): void {
         const now = this.clock.now();
         while (this.waiters.length > 0) {
-            const late = (this.waiters[0]?.deadline ?? now) < now;
-            if (!late && this.tokens < 1) {
+            const expired = (this.waiters[0]?.deadline ?? now) < now;
+            if (!expired && this.tokens < 1) {
                 break;
             }
-            if (!late) {
+            if (!expired) {
                 this.tokens--;
             }
-            this.waiters.shift()?.settle(!late);
+            this.waiters.shift()?.settle(!expired);
         }
         this.scheduleGrant();
     }
 }
 
 const MIN_WAIT_MS = 1;
-/** Tokens per second that a budget never goes below: a member with none could not even leave. */
+/** Minimum rate, in tokens per second: a member without any budget could not even leave the cell. */
 const MIN_RATE = 0.5;
--- a/src/process/store/watch-loop.ts
+++ b/src/process/store/watch-loop.ts
@@ -1,8 +1,9 @@
 /**
- * Follows a prefix of the store: lists, then polls from the revision reached, and lists again after a gap.
+ * Follows a prefix of the store: lists it, polls for changes from the listed revision, and lists again after
+ * a gap.
  *
- * @remarks Changes arrive in the store's order, each once: the loop alone moves `position`, passes only events
- * above it, and discards answers that end below it (a copy of the store that lags).
+ * @remarks Changes are delivered exactly once and in the store's order: only the loop advances `position`, it
+ * passes on only events above it, and it discards answers below it (from a lagging replica of the store).
  */
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
@@ -14,31 +15,27 @@
 import { decodeRecord } from "./record-codec.js";
 
 /**
- * How long the store may hold a poll. A waiting poll counts as one call, so longer is cheaper; but an answer, even an
- * empty one, is what tells an entry that its settings are current, so it must come well within `freshMs`.
+ * How long the store may hold a poll. A held poll counts as one call, so longer polls cost less of the
+ * budget; but an entry knows that its settings are current only from answers, even empty ones, so they must
+ * arrive well within `freshMs`.
  */
 const POLL_WAIT_MS = 1_000;
-/** Time for one listing with its retries. */
-const LIST_PATIENCE_MS = 30_000;
-/** Time that a poll may wait for the budget, in milliseconds. */
+/** Time limit of one listing, including its retries. */
+const LIST_TIMEOUT_MS = 30_000;
+/** Time that a poll may wait for the call budget. */
 const POLL_BUDGET_WAIT_MS = 60_000;
 
-/** What a step of the loop came to. */
+/** Result of one iteration of the loop; `gap`: the store no longer has the changes after `position`. */
 type StepResult = "ok" | "failed" | "gap";
 
-/** One watch. */
+/** A watch on one prefix. */
 export class WatchLoop implements WatchHandle {
     private stopped = false;
-    /** Revision up to which the listener knows everything; undefined before the listing. */
+    /** Revision up to which the listener has received all changes; undefined until a listing succeeds. */
     private position: number | undefined;
-    /** Sending of the last poll or listing that was answered and passed on. */
+    /** When the last poll or listing whose answer was passed on was sent. */
     private lastContact: Millis | undefined;
 
-    /**
-     * @param context - The store and its helpers.
-     * @param prefix - Keys to follow.
-     * @param listener - Told of changes.
-     */
     constructor(
         private readonly context: OperationContext,
         private readonly prefix: string,
@@ -48,7 +45,7 @@
     /** Runs until stopped. */
     async run(): Promise<void> {
         let failures = 0;
-        while (!this.isOver()) {
+        while (!this.isStopped()) {
             const result = this.position === undefined ?
                 await this.list() :
                 await this.poll(this.position);
@@ -56,7 +53,7 @@
             if (result === "gap") {
                 this.position = undefined;
             }
-            if (failures > 0 && !this.isOver()) {
+            if (failures > 0 && !this.isStopped()) {
                 await sleep(this.context.calls.clock, computeBackoff(failures, this.context.random));
             }
         }
@@ -66,20 +63,23 @@
         this.stopped = true;
     }
 
-    /** Returns the instant up to which the listener surely knows all changes. */
+    /**
+     * Returns the instant up to which the listener has received all changes; undefined before the first
+     * listing.
+     */
     getLastContact(): Millis | undefined {
         return this.lastContact;
     }
 
-    /** Tells whether it no longer runs. */
-    isOver(): boolean {
+    /** Returns whether the watch was stopped or the client closed. */
+    isStopped(): boolean {
         return this.stopped || this.context.calls.isClosed();
     }
 
     private async list(): Promise<StepResult> {
         const sentAt = this.context.calls.clock.now();
-        const listing = await listRecords(this.context, this.prefix, this.getDeadline(LIST_PATIENCE_MS));
-        if (this.isOver() || listing.kind !== "done") {
+        const listing = await listRecords(this.context, this.prefix, this.getDeadline(LIST_TIMEOUT_MS));
+        if (this.isStopped() || listing.kind !== "done") {
             return "failed";
         }
         this.position = listing.value.revision;
@@ -96,7 +96,7 @@
             { kind: "polls", deadline: this.getDeadline(POLL_BUDGET_WAIT_MS), timeout: wait },
             (port, timeout) => port.poll(this.prefix, position, timeout),
         );
-        if (this.isOver()) {
+        if (this.isStopped()) {
             return "failed";
         }
         if (answer.kind === "refused") {
@@ -120,7 +120,9 @@
         return "ok";
     }
 
-    /** Passes one event on; false if its record is refused, and then the loop stays in front of it. */
+    /**
+     * Passes one event on; returns false if its record cannot be decoded, which makes the loop list again.
+     */
     private applyEvent(event: StoreEvent): boolean {
         const { key, value, revision } = event;
         if (value === undefined) {
@@ -128,18 +130,18 @@
             this.listener.applyEvent(key, undefined, revision);
             return true;
         }
-        const unwrapped = decodeRecord({ key, value, revision }, this.context.log);
-        if (unwrapped.kind === "refused") {
-            // A later, readable record of the key may already stand there: a listing shows it.
+        const decoded = decodeRecord({ key, value, revision }, this.context.log);
+        if (decoded.kind === "refused") {
+            // The key may already have a newer, readable record, which a listing returns.
             this.position = undefined;
             return false;
         }
         this.position = revision;
-        this.listener.applyEvent(key, unwrapped.value.record.value, revision);
+        this.listener.applyEvent(key, decoded.value.record.value, revision);
         return true;
     }
 
-    private getDeadline(patience: Millis): Millis {
-        return this.context.calls.clock.now() + patience;
+    private getDeadline(timeout: Millis): Millis {
+        return this.context.calls.clock.now() + timeout;
     }
 }
--- a/src/process/store/write-operation.ts
+++ b/src/process/store/write-operation.ts
@@ -1,4 +1,6 @@
-/** A compare-and-swap that ends in a true result, whatever becomes of its tries and their answers. */
+/**
+ * A compare-and-swap with retries whose result is correct even if requests or answers are lost or delayed.
+ */
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
 import type { StoreAnswer, StoreRecord } from "../ports/index.js";
@@ -8,25 +10,23 @@
 import type { OperationContext } from "./read-operation.js";
 import { decodeRecord } from "./record-codec.js";
 
-/** State of one write over its tries. */
+/** State of one write across its attempts. */
 interface WriteState {
     readonly write: StoreWrite;
     readonly writeId: string;
     readonly deadline: Millis;
-    /** Whether a try may have taken effect without our knowing. */
-    mayHaveLanded: boolean;
+    /** Whether an attempt with an unknown outcome may have been applied. */
+    mayHaveBeenApplied: boolean;
 }
 
 /**
- * Writes until the result is known or the patience is over.
+ * Retries a write until its result is known or its time limit has passed.
  *
- * @remarks The failure guarded against: the answer of a try is lost after it took effect, or the try is delayed
- * and takes effect after the next one. It shows as an answer `unknown`. The guard: each retry carries the same
- * write id and the same expected revision. Only one of the tries can find the key at that revision, so the write
- * cannot land twice; and when a retry is refused, the record that stands there says by its write id whether it
- * is ours. A retry is therefore itself the read back, and unlike a plain read it also shuts a delayed try out.
- * @param context - The store and its helpers.
- * @param write - What to write.
+ * @remarks An attempt's answer may be lost after the attempt was applied, or the attempt may be applied later
+ * than the next one; both give `unknown`. All attempts carry the same write id and expected revision, so at
+ * most one is applied, and when a retry is refused, the write id of the current record tells whether it is
+ * this write. A retry thus also serves as the read-back and, unlike a plain read, keeps a delayed attempt
+ * from being applied afterwards.
  * @param writeId - Unique for this write.
  */
 export async function runWrite(
@@ -35,23 +35,23 @@
     writeId: string,
 ): Promise<WriteResult> {
     const { calls, random } = context;
-    const deadline = calls.clock.now() + write.patienceMs;
-    const state: WriteState = { write, writeId, deadline, mayHaveLanded: false };
-    for (let tries = 1;; tries++) {
-        const answer = await sendTry(context, state);
+    const deadline = calls.clock.now() + write.timeoutMs;
+    const state: WriteState = { write, writeId, deadline, mayHaveBeenApplied: false };
+    for (let attempts = 1;; attempts++) {
+        const answer = await sendAttempt(context, state);
         const result = await decideResult(context, state, answer);
         if (result !== undefined) {
             return result;
         }
-        const wait = computeBackoff(tries, random);
-        if (calls.isClosed() || calls.clock.now() + wait >= deadline) {
-            return buildOpenResult(state, answer);
+        const delay = computeBackoff(attempts, random);
+        if (calls.isClosed() || calls.clock.now() + delay >= deadline) {
+            return buildInconclusiveResult(state, answer);
         }
-        await sleep(calls.clock, wait);
+        await sleep(calls.clock, delay);
     }
 }
 
-function sendTry(context: OperationContext, state: WriteState): Promise<StoreAnswer<number>> {
+function sendAttempt(context: OperationContext, state: WriteState): Promise<StoreAnswer<number>> {
     const { key, value, expectedRevision, leaseId, vital } = state.write;
     const text = value === undefined ? undefined : encodeEnvelope(state.writeId, value);
     return context.calls.request(
@@ -70,16 +70,16 @@
             context.calls.observeRevision(answer.value);
             return { kind: "done", revision: answer.value };
         case "refused":
-            return decideRefused(context, state, answer);
+            return decideRefusal(context, state, answer);
         case "unknown":
-            state.mayHaveLanded = true;
+            state.mayHaveBeenApplied = true;
             return undefined;
         case "unavailable":
             return undefined;
     }
 }
 
-function decideRefused(
+function decideRefusal(
     context: OperationContext,
     state: WriteState,
     answer: StoreAnswer<number> & { readonly kind: "refused"; },
@@ -105,24 +105,25 @@
         return decideAbsent(state);
     }
     context.calls.observeRevision(current.revision);
-    const unwrapped = decodeRecord(current, context.log);
-    if (unwrapped.kind === "refused") {
-        const kind = state.mayHaveLanded ? "unknown" : "unavailable";
-        return { kind, message: unwrapped.message };
+    const decoded = decodeRecord(current, context.log);
+    if (decoded.kind === "refused") {
+        const kind = state.mayHaveBeenApplied ? "unknown" : "unavailable";
+        return { kind, message: decoded.message };
     }
-    const { record, writeId } = unwrapped.value;
+    const { record, writeId } = decoded.value;
     if (writeId === state.writeId) {
         return { kind: "done", revision: record.revision };
     }
-    return { kind: state.mayHaveLanded ? "superseded" : "refused", current: record };
+    return { kind: state.mayHaveBeenApplied ? "superseded" : "refused", current: record };
 }
 
 /**
- * The key is absent though the write expected a record. A deletion whose earlier try may have landed has reached
- * its aim: the record it named is gone for good, since revisions never come back.
+ * Handles a conflict where the key is absent although the write expected a record. A deletion with an earlier
+ * attempt that may have been applied counts as done: the expected record is gone for good, since revisions
+ * never recur.
  */
 function decideAbsent(state: WriteState): WriteResult {
-    if (!state.mayHaveLanded) {
+    if (!state.mayHaveBeenApplied) {
         return { kind: "refused", current: undefined };
     }
     return state.write.value === undefined ?
@@ -130,10 +131,10 @@
         { kind: "superseded", current: undefined };
 }
 
-function buildOpenResult(state: WriteState, answer: StoreAnswer<number>): WriteResult {
+function buildInconclusiveResult(state: WriteState, answer: StoreAnswer<number>): WriteResult {
     const message = answer.kind === "unavailable" || answer.kind === "unknown" ? answer.message : answer.kind;
-    return { kind: state.mayHaveLanded ? "unknown" : "unavailable", message };
+    return { kind: state.mayHaveBeenApplied ? "unknown" : "unavailable", message };
 }
 
-/** Revision of a deletion that was settled without the answer that told it. */
+/** Reported for a deletion whose result was inferred without an answer that carried the revision. */
 const UNKNOWN_REVISION = 0;
--- a/src/process/telemetry.ts
+++ b/src/process/telemetry.ts
@@ -1,4 +1,4 @@
-/** Logs and metrics as the roles see them. The sinks that implement them are in `src/process/sinks/`. */
+/** Interfaces of the logs and metrics for the roles; `src/process/sinks/` implements them. */
 
 /** A value in a log line. */
 export type LogValue =
@@ -11,18 +11,18 @@
 
 /** Fields of a routing or placement decision; docs/LOGS.md lists them. */
 export interface DecisionRecord {
-    /** `route` at the front, `place` at a placer, `preempt`, `shed`, `retry`, `eject`, `shadow`. */
+    /** `route` at the gateway, `place` at a placer, `preempt`, `shed`, `retry`, `eject`, `shadow`. */
     readonly decision: string;
     /** Request id, task attempt or job id. */
     readonly subject: string;
     readonly branch: string;
-    /** Settings version that the decision was made under. */
+    /** Settings version under which the decision was made. */
     readonly treeVersion: number;
     /** Chosen worker or member; undefined when none was chosen. */
     readonly chosen?: string;
     readonly reason: string;
     readonly runnersUp?: readonly string[];
-    /** Microseconds that the decision took. */
+    /** Duration of the decision in microseconds. */
     readonly tookUs?: number;
 }
 
--- a/src/process/tree/confirmation.ts
+++ b/src/process/tree/confirmation.ts
@@ -1,52 +1,52 @@
 /**
- * Decides when a written version is in force everywhere.
+ * Decides when a written version of the settings is in force on every entry that can still act.
  *
- * @remarks Three groups: members of the table, who must all confirm; members lost, who were removed and may still
- * run behind a partition on the word of a majority of an older table; and members that left, who have stopped.
+ * @remarks All members of the ownership table must confirm. Members that were removed as lost may still run
+ * behind a partition, confirmed by a majority of an older table, so they are considered too. Members that
+ * left have stopped.
  */
 import type { Millis } from "../../common/clock.js";
 
-/** What is known of a version now. */
+/** Current knowledge about a written version. */
 export interface ConfirmationState {
     readonly now: Millis;
-    /** Time after which a digest from before no longer counts anywhere, drift included. */
+    /** Time after which no entry relies on an earlier digest any more, clock drift included. */
     readonly staleAfterMs: Millis;
     readonly memberIds: readonly string[];
     readonly lostIds: readonly string[];
-    /** Whether the table held is the newest, read after the version was written. */
+    /** Whether the local table is at least as new as the one read after the version was written. */
     readonly isTableNewest: boolean;
-    /** Whether a member has the version, or a later one, in force. */
+    /** Returns whether a member has the version, or a later one, in force. */
     hasConfirmed(memberId: string): boolean;
 }
 
-/** Follows one written version until it is in force everywhere. */
+/** Tracks one written version until it is in force everywhere. */
 export class Confirmation {
     private majoritySince: Millis | undefined;
 
     /**
-     * Tells whether every entry that can act has the version in force.
-     * @param state - What is known now.
-     * @param tables - Members of the tables that this entry has held, for those who may still go by one of them.
+     * Returns whether every entry that can act has the version in force.
+     * @param tables - Members of each table this entry has seen; lost members may still use one of them.
      */
     isComplete(state: ConfirmationState, tables: readonly (readonly string[])[]): boolean {
         const { memberIds, lostIds, now } = state;
-        const everybody = [...memberIds, ...lostIds];
-        const confirmed = everybody.filter(memberId => state.hasConfirmed(memberId));
-        if (confirmed.length * 2 <= everybody.length) {
+        const participants = [...memberIds, ...lostIds];
+        const confirmed = participants.filter(memberId => state.hasConfirmed(memberId));
+        if (confirmed.length * 2 <= participants.length) {
             return false;
         }
         this.majoritySince ??= now;
         if (!state.isTableNewest || memberIds.some(memberId => !state.hasConfirmed(memberId))) {
             return false;
         }
-        const silent = lostIds.filter(memberId => !state.hasConfirmed(memberId));
-        if (silent.length === 0) {
+        const unconfirmedLost = lostIds.filter(memberId => !state.hasConfirmed(memberId));
+        if (unconfirmedLost.length === 0) {
             return true;
         }
-        // Lost members may still go by digests from before the majority confirmed: wait until those are stale.
-        // And they must not form a majority of a table that they may still hold.
+        // Lost members may still rely on digests from before the majority confirmed, so wait until those are
+        // stale. They must also not form a majority of a table that they may still use.
         return now - this.majoritySince > state.staleAfterMs &&
-            !tables.some(table => isMajority(silent, table));
+            !tables.some(table => isMajority(unconfirmedLost, table));
     }
 }
 
--- a/src/process/tree/index.ts
+++ b/src/process/tree/index.ts
@@ -1,3 +1,3 @@
-/** The tree role: follows, holds and edits the settings tree. */
+/** The tree role: follows the settings tree in the store, provides it to other roles, and edits it. */
 export { createTreeRole, type TableView, TreeRole, type TreeRoleOptions } from "./tree-role.js";
 export { TREE_KEY } from "./tree-writer.js";
--- a/src/process/tree/held-tree.ts
+++ b/src/process/tree/local-tree.ts
@@ -1,4 +1,4 @@
-/** The version of the tree that an entry holds; it only ever rises. */
+/** The settings tree that an entry uses. Its version never decreases. */
 import {
     buildSettingsVersion,
     DEFAULT_TREE,
@@ -9,51 +9,46 @@
 } from "../../version/index.js";
 import type { Log, Metrics } from "../telemetry.js";
 
-/** A version of the tree with its text as stored. */
+/** A version of the tree, with its text as stored and the settings built from it. */
 export interface TreeVersion {
     readonly document: TreeDocument;
     readonly text: string;
     readonly settings: SettingsVersion;
 }
 
-/** Keeps the highest version seen and tells of each change. */
-export class HeldTree {
-    private held: TreeVersion | undefined;
-    /** Revision of the store's record when last seen; 0 while it is absent. */
+/** Keeps the highest version seen and notifies subscribers of each change. */
+export class LocalTree {
+    private current: TreeVersion | undefined;
+    /** Last seen revision of the store's record; 0 while it is absent. */
     private revision = 0;
     private readonly listeners: ((settings: SettingsVersion) => void)[] = [];
 
-    /**
-     * @param log - Told of each version.
-     * @param metrics - Given the version as `tree.version`.
-     */
+    /** @param metrics - Receives the version as gauge `tree.version`. */
     constructor(private readonly log: Log, private readonly metrics: Metrics) {}
 
-    /** The version held, or undefined before the first. */
+    /** Returns the current version; undefined before the first. */
     get(): TreeVersion | undefined {
-        return this.held;
+        return this.current;
     }
 
-    /** Revision that the next compare-and-swap names. */
+    /** Returns the revision that the next compare-and-swap must expect. */
     getRevision(): number {
         return this.revision;
     }
 
-    /** Calls back after each change of version. */
+    /** Registers a listener that is called after each change of the version. */
     subscribe(listener: (settings: SettingsVersion) => void): void {
         this.listeners.push(listener);
     }
 
     /**
-     * Takes a record as another party saw it in the store.
-     * @param text - The stored text.
-     * @param revision - The record's revision.
-     * @param source - Where it came from, for the log.
-     * @returns Whether the text can be read.
+     * Accepts a record of the store, read here or received from a peer. Older versions are ignored.
+     * @param source - Origin of the record, for the log; from a `peer`, an older version is not reported.
+     * @returns Whether the text can be parsed.
      */
     accept(text: string, revision: number, source: string): boolean {
         this.revision = Math.max(this.revision, revision);
-        if (this.held?.text === text) {
+        if (this.current?.text === text) {
             return true;
         }
         const parsed = parseTree(text);
@@ -64,7 +59,7 @@
                 path: fault?.path,
                 found: fault?.found,
                 remedy: fault?.remedy,
-                version: this.held?.document.version,
+                version: this.current?.document.version,
             });
             return false;
         }
@@ -73,41 +68,41 @@
     }
 
     /**
-     * Notes that the store has no record: a new cell, or a record that somebody deleted.
-     * @param revision - The revision at which it was absent.
+     * Records that the store has no tree, because the cell is new or the record was deleted.
+     * @param revision - Revision of the store at which the record was absent.
      */
     acceptAbsence(revision: number): void {
         if (revision >= this.revision) {
             this.revision = 0;
         }
-        if (this.held === undefined) {
+        if (this.current === undefined) {
             this.replace({ document: DEFAULT_TREE, text: encodeTree(DEFAULT_TREE) }, "default");
         }
-        else if (this.held.document.version > 0) {
-            this.logOlder("nothing");
+        else if (this.current.document.version > 0) {
+            this.logOlderTree("nothing");
         }
     }
 
     private replace(next: Pick<TreeVersion, "document" | "text">, source: string): void {
         const { version } = next.document;
-        // Versions never fall: a record restored from a backup would take back edits that were accepted.
-        if (this.held !== undefined && version <= this.held.document.version) {
-            if (version < this.held.document.version && source !== "peer") {
-                this.logOlder(`version ${version}`);
+        // The version never decreases: a record restored from a backup would revert accepted edits.
+        if (this.current !== undefined && version <= this.current.document.version) {
+            if (version < this.current.document.version && source !== "peer") {
+                this.logOlderTree(`version ${version}`);
             }
             return;
         }
         const settings = buildSettingsVersion(next.document);
-        this.held = { ...next, settings };
+        this.current = { ...next, settings };
         this.log.info("settings in force", { version, source });
         this.metrics.gauge("tree.version", version);
         this.listeners.forEach(listener => listener(settings));
     }
 
-    private logOlder(found: string): void {
+    private logOlderTree(found: string): void {
         this.log.error("CR1202", "the store's settings tree is older than the one in force, which stays", {
             found,
-            version: this.held?.document.version,
+            version: this.current?.document.version,
             remedy: "make an edit: it is written on top of the version in force",
         });
     }
--- a/src/process/tree/tree-role.ts
+++ b/src/process/tree/tree-role.ts
@@ -1,6 +1,6 @@
 /**
- * The task that follows the settings tree, holds the version in force, and carries out operators' edits.
- * docs/design/settings-in-force.md gives the rules and their reasons.
+ * The role that follows the settings tree, provides the version in force, and carries out operators' edits.
+ * See docs/design/settings-in-force.md for the rules and their reasons.
  */
 import { type Clock, type Millis, sleep } from "../../common/clock.js";
 import type { AnswerBody, ForceCall, TreeCall } from "../../connection/messages.js";
@@ -22,39 +22,39 @@
     TreeView,
 } from "../operator-gateway.js";
 import type { StoreListing } from "../ports/store-port.js";
-import type { HeardDigest, PeerHub, SettingsSource } from "../roles.js";
+import type { PeerHub, ReceivedDigest, SettingsSource } from "../roles.js";
 import type { StoreClient, WatchListener } from "../store-client.js";
 import type { Log, Metrics } from "../telemetry.js";
 import { Confirmation } from "./confirmation.js";
-import { isVersionCurrent } from "./currency.js";
 import { describeEffect as describeEffectInGeneral } from "./describe-effect.js";
-import { HeldTree } from "./held-tree.js";
+import { LocalTree } from "./local-tree.js";
 import { TREE_KEY, TreeWriter } from "./tree-writer.js";
+import { isVersionCurrent } from "./version-freshness.js";
 
-/** Longest time that an edit waits for the word of all entries; then its answer is `written`. */
-const CONFIRM_MS: Millis = 4_000;
-const CONFIRM_STEP_MS: Millis = 50;
-/** Time between two pushes of a version to a member that has not confirmed it. */
+/** Maximum time that an edit waits for all confirmations; after it, the reply is `written`. */
+const CONFIRM_TIMEOUT_MS: Millis = 4_000;
+const CONFIRM_POLL_MS: Millis = 50;
+/** Interval between pushes of a version to members that have not confirmed it. */
 const PUSH_INTERVAL_MS: Millis = 500;
 const PEER_TIMEOUT_MS: Millis = 1_000;
 const MEMBERSHIP_READ_INTERVAL_MS: Millis = 1_000;
-const TABLE_READ_PATIENCE_MS: Millis = 2_000;
-/** Tables remembered; older ones are held by nobody who still acts. */
+const TABLE_READ_TIMEOUT_MS: Millis = 2_000;
+/** Maximum number of tables kept; no entry still acts on an older one. */
 const MAX_TABLES = 64;
 
-/** What the tree role reads of the ownership table. */
+/** The part of the ownership table that the tree role reads. */
 export interface TableView {
     /** Key of the table in the store. */
     readonly key: string;
-    /** Revision of the table held; 0 before the first. */
+    /** Returns the revision of the local table; 0 before the first. */
     getRevision(): number;
-    /** Members of the table held. */
+    /** Returns the members of the local table. */
     listMemberIds(): readonly string[];
-    /** Members removed as lost that may still be running. */
+    /** Returns members that were removed as lost and may still be running. */
     listLostIds(): readonly string[];
 }
 
-/** What the tree role is given. */
+/** Dependencies of the tree role. */
 export interface TreeRoleOptions {
     readonly memberId: string;
     readonly clock: Clock;
@@ -63,7 +63,10 @@
     readonly store: StoreClient;
     readonly peers: PeerHub;
     readonly table: TableView;
-    /** Says what a change of a branch means for work that waits here; without it, in general words. */
+    /**
+     * Describes the effect of a change on work waiting here; by default, the effect is described in general
+     * terms.
+     */
     describeEffect?(
         path: string,
         before: BranchSettings | undefined,
@@ -72,42 +75,41 @@
 }
 
 /**
- * Creates the tree role. It follows the store once its owner passes it the store's events: see
- * {@link TreeRole.replaceAll} and {@link TreeRole.applyEvent}.
- * @param options - What the role works with.
+ * Creates the tree role. Its owner must pass the store's events on to {@link TreeRole.replaceAll} and
+ * {@link TreeRole.applyEvent}.
  */
 export function createTreeRole(options: TreeRoleOptions): TreeRole {
     return new TreeRole(options);
 }
 
-/** Follows and changes the tree; the other roles read it through {@link SettingsSource}. */
+/** Follows and edits the tree; other roles read the settings through {@link SettingsSource}. */
 export class TreeRole implements SettingsSource, TreeGateway, WatchListener {
-    private readonly held: HeldTree;
+    private readonly localTree: LocalTree;
     private readonly writer: TreeWriter;
     private membership: "outside" | "reading" | "confirmed" = "outside";
-    /** Versions that members confirmed by answers to pushes; digests tell the rest. */
-    private readonly confirmed = new Map<string, number>();
-    private readonly tables: (readonly string[])[] = [];
+    /** Versions that members confirmed in answers to pushes, by member; digests confirm as well. */
+    private readonly confirmedVersions = new Map<string, number>();
+    private readonly recentTables: (readonly string[])[] = [];
     private nextMembershipRead = Number.NEGATIVE_INFINITY;
-    private fetching = false;
-    private closed = false;
+    private isFetching = false;
+    private isClosed = false;
 
     constructor(private readonly options: TreeRoleOptions) {
-        this.held = new HeldTree(options.log, options.metrics);
-        this.writer = new TreeWriter(options.clock, options.store, this.held);
+        this.localTree = new LocalTree(options.log, options.metrics);
+        this.writer = new TreeWriter(options.clock, options.store, this.localTree);
     }
 
     getCurrent(): SettingsVersion | undefined {
-        return this.held.get()?.settings;
+        return this.localTree.get()?.settings;
     }
 
-    /** Version held, for digests; 0 before the first. */
+    /** Returns the current version, for digests; 0 before the first. */
     getVersion(): number {
-        return this.held.get()?.document.version ?? 0;
+        return this.localTree.get()?.document.version ?? 0;
     }
 
     isCurrent(): boolean {
-        if (this.held.get() === undefined || this.closed) {
+        if (this.localTree.get() === undefined || this.isClosed) {
             return false;
         }
         this.trackTable();
@@ -125,74 +127,79 @@
     }
 
     subscribe(listener: (settings: SettingsVersion) => void): void {
-        this.held.subscribe(listener);
+        this.localTree.subscribe(listener);
     }
 
-    /** Takes the store's records of the cell, at the start and after a gap of the watch. */
+    /** Applies the cell's records of the store, at the start and after a gap of the watch. */
     replaceAll(listing: StoreListing): void {
         const record = listing.records.find(each => each.key === TREE_KEY);
         this.applyEvent(TREE_KEY, record?.value, record?.revision ?? listing.revision);
     }
 
-    /** Takes one change of the store's records of the cell. */
+    /** Applies one change of the cell's records in the store. */
     applyEvent(key: string, value: string | undefined, revision: number): void {
-        if (key !== TREE_KEY || this.closed) {
+        if (key !== TREE_KEY || this.isClosed) {
             return;
         }
         if (value === undefined) {
-            this.held.acceptAbsence(revision);
+            this.localTree.acceptAbsence(revision);
         }
         else {
-            this.held.accept(value, revision, "watch");
+            this.localTree.accept(value, revision, "watch");
         }
     }
 
-    /** Fetches the tree from a peer that holds a newer version: the watch may be broken here and not there. */
-    receiveDigest(memberId: string, heard: HeardDigest): void {
+    /** Fetches the tree from a peer with a newer version, in case the watch is broken here but not there. */
+    receiveDigest(memberId: string, received: ReceivedDigest): void {
         this.trackTable();
-        if (heard.digest.treeVersion > this.getVersion() && !this.fetching && !this.closed) {
+        if (received.digest.treeVersion > this.getVersion() && !this.isFetching && !this.isClosed) {
             void this.requestTree(memberId);
         }
     }
 
-    /** Answers calls of other entries about the tree. */
+    /** Answers calls of other entries: returns the tree, or first accepts a pushed version. */
     handleCall(body: TreeCall | ForceCall): AnswerBody {
-        if (body.kind === "force" && !this.closed) {
-            this.held.accept(body.text, body.revision, "peer");
+        if (body.kind === "force" && !this.isClosed) {
+            this.localTree.accept(body.text, body.revision, "peer");
         }
-        const held = this.held.get();
-        if (held === undefined) {
+        const current = this.localTree.get();
+        if (current === undefined) {
             return { kind: "error", code: "notReady", message: "no settings tree was read yet: ask again" };
         }
         return body.kind === "force" ?
             { kind: "forced", version: this.getVersion() } :
-            { kind: "tree", version: this.getVersion(), text: held.text, revision: this.held.getRevision() };
+            {
+                kind: "tree",
+                version: this.getVersion(),
+                text: current.text,
+                revision: this.localTree.getRevision(),
+            };
     }
 
-    /** Stops: nothing is taken in any more, and edits under way end by their deadlines. */
+    /** Stops accepting versions; edits in flight end at their deadlines. */
     close(): void {
-        this.closed = true;
+        this.isClosed = true;
     }
 
     readTree(): TreeView | undefined {
-        const document = this.held.get()?.document;
+        const document = this.localTree.get()?.document;
         return document === undefined ? undefined : { version: document.version, tree: document.root };
     }
 
     listHistory(limit: number): readonly EditRecord[] {
-        const edits = this.held.get()?.document.recentEdits ?? [];
+        const edits = this.localTree.get()?.document.recentEdits ?? [];
         return edits.slice(-Math.max(1, limit)).reverse();
     }
 
     getEffective(path: string): readonly EffectiveValue[] | undefined {
-        const document = this.held.get()?.document;
+        const document = this.localTree.get()?.document;
         return document === undefined ? undefined : getEffective(document, path);
     }
 
     checkEdit(edit: TreeEdit): DryRunReport {
-        const document = this.held.get()?.document;
+        const document = this.localTree.get()?.document;
         if (document === undefined) {
-            return { faults: [notReadFault], conflicts: [], changedBranches: [] };
+            return { faults: [NOT_READ_FAULT], conflicts: [], changedBranches: [] };
         }
         const applied = applyEdit(document, edit, this.options.clock.wallNow());
         const describe = this.options.describeEffect ?? describeEffectInGeneral;
@@ -218,11 +225,11 @@
         return reply;
     }
 
-    /** Pushes a written version to all entries and waits for their word. */
+    /** Pushes a written version to all members and waits for their confirmations, up to a time limit. */
     private async waitConfirmed(version: number): Promise<EditReply> {
         const { clock } = this.options;
         const confirmation = new Confirmation();
-        const deadline = clock.now() + CONFIRM_MS;
+        const deadline = clock.now() + CONFIRM_TIMEOUT_MS;
         let tableRevision: number | undefined;
         void this.readTableRevision().then(revision => {
             tableRevision = revision;
@@ -230,7 +237,7 @@
         let nextPush = clock.now();
         for (;;) {
             if (clock.now() >= nextPush) {
-                this.pushTo(this.listUnconfirmed(version));
+                this.pushToMembers(this.listUnconfirmed(version));
                 nextPush = clock.now() + PUSH_INTERVAL_MS;
             }
             if (this.isInForce(version, confirmation, tableRevision)) {
@@ -241,10 +248,10 @@
                     kind: "written",
                     version,
                     inForce: this.listInForce(version),
-                    missing: [...this.listUnconfirmed(version), ...this.listSilentLost(version)],
+                    missing: [...this.listUnconfirmed(version), ...this.listUnconfirmedLost(version)],
                 };
             }
-            await sleep(clock, CONFIRM_STEP_MS);
+            await sleep(clock, CONFIRM_POLL_MS);
         }
     }
 
@@ -263,15 +270,15 @@
             lostIds: table.listLostIds(),
             isTableNewest: tableRevision !== undefined && table.getRevision() >= tableRevision,
             hasConfirmed: memberId => this.hasConfirmed(memberId, version),
-        }, this.tables);
+        }, this.recentTables);
     }
 
     /**
-     * Reads which table is the newest now that the edit is written. Without it a member that joined a moment ago,
-     * with the tree from before the edit, would not be waited for.
+     * Reads the newest table's revision after the edit was written. Without it, the edit would not wait for a
+     * member that joined just now with the tree from before the edit.
      */
     private async readTableRevision(): Promise<number | undefined> {
-        const read = await this.options.store.read(this.options.table.key, TABLE_READ_PATIENCE_MS);
+        const read = await this.options.store.read(this.options.table.key, TABLE_READ_TIMEOUT_MS);
         return read.kind === "done" ? read.value?.revision ?? 0 : undefined;
     }
 
@@ -279,8 +286,8 @@
         if (memberId === this.options.memberId) {
             return this.getVersion() >= version;
         }
-        const told = this.options.peers.getDigest(memberId)?.digest.treeVersion ?? 0;
-        return Math.max(told, this.confirmed.get(memberId) ?? 0) >= version;
+        const reportedVersion = this.options.peers.getDigest(memberId)?.digest.treeVersion ?? 0;
+        return Math.max(reportedVersion, this.confirmedVersions.get(memberId) ?? 0) >= version;
     }
 
     private listInForce(version: number): readonly string[] {
@@ -291,58 +298,61 @@
         return this.options.table.listMemberIds().filter(memberId => !this.hasConfirmed(memberId, version));
     }
 
-    private listSilentLost(version: number): readonly string[] {
+    private listUnconfirmedLost(version: number): readonly string[] {
         return this.options.table.listLostIds().filter(memberId => !this.hasConfirmed(memberId, version));
     }
 
-    private pushTo(memberIds: readonly string[]): void {
-        const held = this.held.get();
-        if (held === undefined) {
+    private pushToMembers(memberIds: readonly string[]): void {
+        const current = this.localTree.get();
+        if (current === undefined) {
             return;
         }
         const body: ForceCall = {
             kind: "force",
-            version: held.document.version,
-            text: held.text,
-            revision: this.held.getRevision(),
+            version: current.document.version,
+            text: current.text,
+            revision: this.localTree.getRevision(),
         };
         for (const memberId of memberIds) {
             if (memberId !== this.options.memberId) {
-                void this.push(memberId, body);
+                void this.pushToMember(memberId, body);
             }
         }
     }
 
-    private async push(memberId: string, body: ForceCall): Promise<void> {
+    private async pushToMember(memberId: string, body: ForceCall): Promise<void> {
         const result = await this.options.peers.call(memberId, body, PEER_TIMEOUT_MS);
         if (result.kind === "answer" && result.body.kind === "forced") {
-            this.confirmed.set(memberId, Math.max(result.body.version, this.confirmed.get(memberId) ?? 0));
+            this.confirmedVersions.set(
+                memberId,
+                Math.max(result.body.version, this.confirmedVersions.get(memberId) ?? 0),
+            );
         }
     }
 
     private async requestTree(memberId: string): Promise<void> {
-        this.fetching = true;
+        this.isFetching = true;
         const result = await this.options.peers.call(memberId, { kind: "tree" }, PEER_TIMEOUT_MS)
             .finally(() => {
-                this.fetching = false;
+                this.isFetching = false;
             });
-        if (result.kind === "answer" && result.body.kind === "tree" && !this.closed) {
-            this.held.accept(result.body.text, result.body.revision, "peer");
+        if (result.kind === "answer" && result.body.kind === "tree" && !this.isClosed) {
+            this.localTree.accept(result.body.text, result.body.revision, "peer");
         }
     }
 
     /**
-     * Follows the table: remembers its members, and reads the tree once after this entry has become one. An edit
-     * made between its first reading and its joining waited for nobody's word but the others'.
+     * Tracks the table: records its members, and reads the tree again once this entry has become one, since
+     * edits made between its first read and its joining did not wait for its confirmation.
      */
     private trackTable(): void {
         const memberIds = this.options.table.listMemberIds();
-        if (memberIds !== this.tables.at(-1) && memberIds.join() !== this.tables.at(-1)?.join()) {
-            this.tables.push(memberIds);
-            this.tables.splice(0, this.tables.length - MAX_TABLES);
-            for (const memberId of this.confirmed.keys()) {
+        if (memberIds !== this.recentTables.at(-1) && memberIds.join() !== this.recentTables.at(-1)?.join()) {
+            this.recentTables.push(memberIds);
+            this.recentTables.splice(0, this.recentTables.length - MAX_TABLES);
+            for (const memberId of this.confirmedVersions.keys()) {
                 if (!memberIds.includes(memberId)) {
-                    this.confirmed.delete(memberId);
+                    this.confirmedVersions.delete(memberId);
                 }
             }
         }
@@ -368,7 +378,7 @@
     }
 }
 
-const notReadFault = {
+const NOT_READ_FAULT = {
     path: "tree",
     found: "nothing",
     allowed: "a tree read from the store",
--- a/src/process/tree/tree-writer.ts
+++ b/src/process/tree/tree-writer.ts
@@ -4,82 +4,80 @@
 import type { EditReply, SettingsFault, TreeEdit } from "../operator-gateway.js";
 import type { StoreRecord } from "../ports/store-port.js";
 import type { StoreClient, WriteResult } from "../store-client.js";
-import type { HeldTree } from "./held-tree.js";
+import type { LocalTree } from "./local-tree.js";
 
 /** Key of the tree in the store. */
 export const TREE_KEY = "cell/tree";
 
-/** Longer than the store's slow spells, so that a slow write is not given up while it succeeds. */
-const WRITE_PATIENCE_MS: Millis = 10_000;
-const READ_PATIENCE_MS: Millis = 6_000;
+/**
+ * Longer than the store's phases of slow answers, so that a slow write is not abandoned while it succeeds.
+ */
+const WRITE_TIMEOUT_MS: Millis = 10_000;
+const READ_TIMEOUT_MS: Millis = 6_000;
 const MAX_WAITING_EDITS = 32;
-/** Compare-and-swaps of one edit; each failure means that somebody else's succeeded. */
-const MAX_TRIES = 16;
+/** Compare-and-swap attempts for one edit; each failed one means that a concurrent write succeeded. */
+const MAX_ATTEMPTS = 16;
 const RETRY_AFTER_MS: Millis = 2_000;
 
-/** Result of writing an edit. `written`: it is in the store, as part of this version or an earlier write. */
+/** Result of writing an edit. `written`: the edit is in the store, written now or before with the same id. */
 export type WriteEditResult =
     | { readonly kind: "written"; readonly version: number; }
     | Extract<EditReply, { kind: "conflict" | "invalid" | "unavailable" | "uncertain"; }>;
 
-/** What one compare-and-swap led to; `again`: somebody else wrote, merge with it. */
-type TryResult = WriteEditResult | { readonly kind: "again"; };
+/** Result of one compare-and-swap attempt. `again`: a concurrent write came first and must be merged with. */
+type AttemptResult = WriteEditResult | { readonly kind: "again"; };
 
-/** Writes edits, one at a time. */
+/** Writes edits to the store sequentially. */
 export class TreeWriter {
-    private waiting = 0;
-    private last: Promise<unknown> = Promise.resolve();
+    private waitingEdits = 0;
+    private lastWrite: Promise<unknown> = Promise.resolve();
 
     /**
-     * @param clock - Gives the wall-clock time of the history.
-     * @param store - Where the tree stands.
-     * @param held - The version this entry holds.
+     * @param clock - Provides the wall-clock times of the edit history.
+     * @param localTree - This entry's version of the tree, updated by each read and write.
      */
     constructor(
         private readonly clock: Clock,
         private readonly store: StoreClient,
-        private readonly held: HeldTree,
+        private readonly localTree: LocalTree,
     ) {}
 
-    /**
-     * Writes an edit after those handed in before it.
-     * @param edit - The edit.
-     */
+    /** Writes an edit after all earlier ones have ended; answers `unavailable` if too many are waiting. */
     write(edit: TreeEdit): Promise<WriteEditResult> {
-        if (this.waiting >= MAX_WAITING_EDITS) {
+        if (this.waitingEdits >= MAX_WAITING_EDITS) {
             return Promise.resolve(buildUnavailable(`${MAX_WAITING_EDITS} edits wait here already`));
         }
-        this.waiting++;
-        const result = this.last.then(() => this.tryUntilSettled(edit)).finally(() => {
-            this.waiting--;
+        this.waitingEdits++;
+        const result = this.lastWrite.then(() => this.retryWrite(edit)).finally(() => {
+            this.waitingEdits--;
         });
-        this.last = result.catch(() => undefined);
+        this.lastWrite = result.catch(() => undefined);
         return result;
     }
 
     /**
-     * Reads the tree from the store.
-     * @returns Whether the store answered and what it holds can be read.
+     * Reads the tree from the store into the local version.
+     * @returns `unavailable` if the store did not answer; `unreadable` if its record cannot be parsed.
      */
     async refresh(): Promise<"done" | "unavailable" | "unreadable"> {
-        const read = await this.store.read(TREE_KEY, READ_PATIENCE_MS);
+        const read = await this.store.read(TREE_KEY, READ_TIMEOUT_MS);
         if (read.kind !== "done") {
             return "unavailable";
         }
         return this.acceptRecord(read.value) ? "done" : "unreadable";
     }
 
-    private async tryUntilSettled(edit: TreeEdit): Promise<WriteEditResult> {
+    private async retryWrite(edit: TreeEdit): Promise<WriteEditResult> {
         if (this.needsRefresh(edit)) {
             const refreshed = await this.refresh();
             if (refreshed !== "done") {
                 return refreshed === "unreadable" ?
-                    unreadableReply :
+                    UNREADABLE_REPLY :
                     buildUnavailable("the store does not answer");
             }
         }
-        for (let tries = 0; tries < MAX_TRIES; tries++) {
-            const result = await this.tryOnce(edit);
+        for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            const result = await this.tryWrite(edit);
             if (result.kind !== "again") {
                 return result;
             }
@@ -87,14 +85,16 @@
         return buildUnavailable("other edits came first each time");
     }
 
-    /** Before the first version, and when the operator has read a later one elsewhere. */
+    /**
+     * Returns whether there is no version yet or the operator's edit is based on a later one, read elsewhere.
+     */
     private needsRefresh(edit: TreeEdit): boolean {
-        const version = this.held.get()?.document.version;
+        const version = this.localTree.get()?.document.version;
         return version === undefined || edit.baseVersion > version;
     }
 
-    private async tryOnce(edit: TreeEdit): Promise<TryResult> {
-        const document = this.held.get()?.document;
+    private async tryWrite(edit: TreeEdit): Promise<AttemptResult> {
+        const document = this.localTree.get()?.document;
         if (document === undefined) {
             return buildUnavailable("this entry has not read the tree yet");
         }
@@ -104,27 +104,27 @@
             convertRefusal(document, applied);
     }
 
-    private async swap(document: TreeDocument): Promise<TryResult> {
+    private async swap(document: TreeDocument): Promise<AttemptResult> {
         const text = encodeTree(document);
         const result = await this.store.write({
             key: TREE_KEY,
             value: text,
-            expectedRevision: this.held.getRevision(),
-            patienceMs: WRITE_PATIENCE_MS,
+            expectedRevision: this.localTree.getRevision(),
+            timeoutMs: WRITE_TIMEOUT_MS,
         });
         if (result.kind === "done") {
-            this.held.accept(text, result.revision, "edit");
+            this.localTree.accept(text, result.revision, "edit");
             return { kind: "written", version: document.version };
         }
-        return this.resolveFailure(result);
+        return this.resolveFailedSwap(result);
     }
 
-    private resolveFailure(result: Exclude<WriteResult, { kind: "done"; }>): TryResult {
+    private resolveFailedSwap(result: Exclude<WriteResult, { kind: "done"; }>): AttemptResult {
         switch (result.kind) {
             case "refused":
-            // After `superseded` the edit may have stood: then the newer tree remembers its id.
+            // After `superseded` the edit may have been written: then the newer tree contains its id.
             case "superseded":
-                return this.acceptRecord(result.current) ? { kind: "again" } : unreadableReply;
+                return this.acceptRecord(result.current) ? { kind: "again" } : UNREADABLE_REPLY;
             case "unknown":
                 return {
                     kind: "uncertain",
@@ -132,7 +132,7 @@
                     retryAfterMs: RETRY_AFTER_MS,
                 };
             case "tooLarge":
-                return { kind: "invalid", faults: [tooLargeFault] };
+                return { kind: "invalid", faults: [TOO_LARGE_FAULT] };
             case "noLease":
             case "unavailable":
                 return buildUnavailable("the store does not answer");
@@ -141,10 +141,10 @@
 
     private acceptRecord(record: StoreRecord | undefined): boolean {
         if (record === undefined) {
-            this.held.acceptAbsence(Number.MAX_SAFE_INTEGER);
+            this.localTree.acceptAbsence(Number.MAX_SAFE_INTEGER);
             return true;
         }
-        return this.held.accept(record.value, record.revision, "store");
+        return this.localTree.accept(record.value, record.revision, "store");
     }
 }
 
@@ -170,14 +170,14 @@
     };
 }
 
-const tooLargeFault: SettingsFault = {
+const TOO_LARGE_FAULT: SettingsFault = {
     path: "(root)",
     found: "a tree over the store's limit",
     allowed: "at most 1 MB",
     remedy: "remove teams or branches that are no longer used",
 };
 
-const unreadableReply: WriteEditResult = {
+const UNREADABLE_REPLY: WriteEditResult = {
     kind: "invalid",
     faults: [{
         path: "tree",
--- a/src/request/http/admin-routes.ts
+++ b/src/request/http/admin-routes.ts
@@ -1,4 +1,4 @@
-/** Operators' routes: the settings tree, and read-only status. */
+/** Routes for operators: the settings tree and the read-only status. */
 import { z } from "zod";
 import type { EditReply, StatusView, TreeEdit } from "../../process/operator-gateway.js";
 import { Access } from "./exchange.js";
@@ -10,9 +10,9 @@
 const MAX_HISTORY = 1_000;
 const DEFAULT_HISTORY = 50;
 const MAX_CHANGES = 1_000;
-const NO_TREE_RETRY_MS = 1_000;
+const TREE_UNAVAILABLE_RETRY_MS = 1_000;
 
-/** What each part of the status shows. */
+/** Selects the fields of each part of the status. */
 const statusParts: Readonly<Record<string, (status: StatusView) => unknown>> = {
     entries: status => ({ entries: status.members }),
     slices: status => ({ workerSlices: status.workerSlices, homeSlices: status.homeSlices }),
@@ -21,41 +21,41 @@
 };
 
 export const ADMIN_ROUTES: readonly Route[] = [
-    buildReading("/v1/admin/tree", handleTree),
-    buildReading("/v1/admin/tree/history", handleHistory),
-    buildReading("/v1/admin/tree/effective", handleEffective),
-    buildWriting("/v1/admin/tree/edits", handleEdit),
-    buildWriting("/v1/admin/tree/check", handleCheck),
-    buildReading("/v1/admin/status", context => buildJson(200, context.operators.getStatus())),
+    buildGetRoute("/v1/admin/tree", handleTree),
+    buildGetRoute("/v1/admin/tree/history", handleHistory),
+    buildGetRoute("/v1/admin/tree/effective", handleEffective),
+    buildPostRoute("/v1/admin/tree/edits", handleEdit),
+    buildPostRoute("/v1/admin/tree/check", handleCheck),
+    buildGetRoute("/v1/admin/status", context => buildJson(200, context.operators.getStatus())),
     ...Object.entries(statusParts).map(([part, show]) =>
-        buildReading(
+        buildGetRoute(
             `/v1/admin/status/${part}`,
             context => buildJson(200, show(context.operators.getStatus())),
         )
     ),
-    buildReading("/v1/admin/status/teams", handleTeams),
+    buildGetRoute("/v1/admin/status/teams", handleTeams),
 ];
 
-function buildReading(path: string, handle: Route["handle"]): Route {
+function buildGetRoute(path: string, handle: Route["handle"]): Route {
     return { method: "GET", path, access: Access.operator, takesBody: false, handle };
 }
 
-function buildWriting(path: string, handle: Route["handle"]): Route {
+function buildPostRoute(path: string, handle: Route["handle"]): Route {
     return { method: "POST", path, access: Access.operator, takesBody: true, handle };
 }
 
 function handleTree(context: RouteContext): HttpReply {
     const view = context.operators.readTree();
-    return view === undefined ? buildNoTree() : buildJson(200, view, { etag: `"${view.version}"` });
+    return view === undefined ? buildTreeUnavailable() : buildJson(200, view, { etag: `"${view.version}"` });
 }
 
-function buildNoTree(): HttpReply {
+function buildTreeUnavailable(): HttpReply {
     return buildError(503, {
         kind: "noTree",
         message: "this entry has not read the tree yet",
         remedy: "ask again, or ask another entry; look at the store if it lasts",
         ran: "no",
-        retryAfterMs: NO_TREE_RETRY_MS,
+        retryAfterMs: TREE_UNAVAILABLE_RETRY_MS,
     });
 }
 
@@ -78,30 +78,30 @@
 function handleTeams(context: RouteContext): HttpReply {
     const settings = context.settings.getCurrent();
     if (settings === undefined) {
-        return buildNoTree();
+        return buildTreeUnavailable();
     }
-    // Hashes of tokens are left out: whoever reads the status need not have them.
+    // Token hashes are omitted, since readers of the status do not need them.
     const teams = [...settings.teams.values()].map(({ team, weight, quota }) => ({ team, weight, quota }));
     return buildJson(200, { version: settings.version, teams });
 }
 
-const name = z.string("text of 1 to 200 characters").min(1, "text of 1 to 200 characters")
+const nameSchema = z.string("text of 1 to 200 characters").min(1, "text of 1 to 200 characters")
     .max(200, "text of 1 to 200 characters");
 
 const editSchema = z.strictObject({
-    editId: name,
+    editId: nameSchema,
     baseVersion: z.int("a version of the tree").nonnegative("a version of the tree"),
     changes: z.array(
         z.strictObject({
             path: z.string("the path of a branch, empty for the root").max(200, "the path of a branch"),
-            field: name,
+            field: nameSchema,
             value: z.json().optional(),
         }, "an object with path, field and value"),
         "a list of changes",
     ).min(1, "at least one change").max(MAX_CHANGES, `at most ${MAX_CHANGES} changes`),
 }, "a JSON object with editId, baseVersion and changes");
 
-/** Checks an edit; its author is whoever the token belongs to. */
+/** Parses and checks an edit; its author is the operator whom the token belongs to. */
 function parseEdit(exchange: Exchange): Checked<TreeEdit> {
     const input = parseJsonBody(exchange.body, editSchema);
     if (input.kind === "invalid") {
--- a/src/request/http/exchange.ts
+++ b/src/request/http/exchange.ts
@@ -1,4 +1,4 @@
-/** One HTTP request and its answer, as handlers see them; sockets and streams stay in `src/connection/http/`. */
+/** HTTP requests, answers and routes as handlers see them; sockets are left to `src/connection/http/`. */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Clock, Millis } from "../../common/clock.js";
 import type { OperatorGateway } from "../../process/operator-gateway.js";
@@ -6,26 +6,26 @@
 import type { Log, Metrics } from "../../process/telemetry.js";
 import type { Caller } from "../work.js";
 
-/** Who a token belongs to. */
+/** The owner of a token. */
 export type Identity =
     | { readonly kind: "team"; readonly caller: Caller; }
     | { readonly kind: "operator"; readonly name: string; };
 
-/** A request whose token, size and form were accepted. */
+/** A request that passed the checks of its token, size and form. */
 export interface Exchange {
-    /** Unique in the cell; begins with the caller's own `x-request-id` if there was one. */
+    /** Unique in the cell; begins with the caller's `x-request-id` if given. */
     readonly requestId: string;
     readonly identity: Identity | undefined;
-    /** Values of the path's parameters; `*` is the rest of the path. */
+    /** Values of the path parameters; `*` is the rest of the path. */
     readonly params: Readonly<Record<string, string | undefined>>;
     readonly query: URLSearchParams;
     readonly headers: IncomingHttpHeaders;
     readonly body: Uint8Array;
-    /** Instant at which the request's headers had arrived. */
+    /** Instant at which all headers of the request had arrived. */
     readonly receivedAt: Millis;
 }
 
-/** An answer. */
+/** The answer to a request. */
 export interface HttpReply {
     readonly status: number;
     readonly contentType: string;
@@ -33,7 +33,7 @@
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** What handlers work with. */
+/** Dependencies of the handlers. */
 export interface RouteContext {
     readonly callers: CallerGateway;
     readonly operators: OperatorGateway;
@@ -42,25 +42,25 @@
     readonly log: Log;
     readonly metrics: Metrics;
     readonly limits: RequestLimits;
-    /** Whether the balancer should leave this entry out because it is shutting down. */
+    /** Whether this entry is shutting down, so that the balancer should not use it. */
     isDraining(): boolean;
 }
 
-/** Limits of single requests. */
+/** Limits that apply to each request. */
 export interface RequestLimits {
     readonly maxBodyBytes: number;
-    /** Deadline of a service request that names none. */
+    /** Deadline of a service request that specifies none. */
     readonly defaultDeadlineMs: Millis;
     readonly maxDeadlineMs: Millis;
-    /** Longest time that a wait for a job's end is held. */
+    /** Longest time that a request may wait for the end of a job. */
     readonly maxWaitMs: Millis;
-    /** Time for the owner of a job to answer. */
+    /** Timeout of calls to the owner of a job. */
     readonly homeTimeoutMs: Millis;
     readonly maxTasks: number;
     readonly maxPayloadBytes: number;
 }
 
-/** Limits that a deployment need not change. */
+/** Default limits; a deployment normally need not change them. */
 export const DEFAULT_REQUEST_LIMITS: RequestLimits = {
     maxBodyBytes: 8 * 1_048_576,
     defaultDeadlineMs: 30_000,
@@ -71,28 +71,28 @@
     maxPayloadBytes: 65_536,
 };
 
-/** Whose tokens a route takes. */
+/** Whose tokens a route accepts. */
 export const Access = {
-    /** No token. */
+    /** No token is required. */
     open: "open",
     /** A team's token. */
     team: "team",
-    /** An operators' token. */
+    /** An operator's token. */
     operator: "operator",
-    /** Either: a team sees its own work, operators see all. */
+    /** Either kind: a team sees its own work, operators see all. */
     reader: "reader",
 } as const;
 export type Access = (typeof Access)[keyof typeof Access];
 
-/** A route of the interface. */
+/** A route of the HTTP interface. */
 export interface Route {
     readonly method: "GET" | "POST";
-    /** Path pattern as find-my-way reads it. */
+    /** Path pattern in the syntax of find-my-way. */
     readonly path: string;
     readonly access: Access;
-    /** Whether a body is read; of other requests it is an error to send one. */
+    /** Whether the route accepts a body; sending one to other routes is an error. */
     readonly takesBody: boolean;
-    /** Looked at before the body is read; a reply ends the request. */
+    /** Called before the body is read; a reply ends the request. */
     readonly refuse?: (context: RouteContext) => HttpReply | undefined;
     readonly handle: (context: RouteContext, exchange: Exchange) => Promise<HttpReply> | HttpReply;
 }
--- a/src/request/http/health-routes.ts
+++ b/src/request/http/health-routes.ts
@@ -1,9 +1,9 @@
-/** Routes for the platform's balancer and supervisor. */
+/** Health and readiness probes for the platform's balancer and supervisor. */
 import { Access } from "./exchange.js";
 import type { Exchange, HttpReply, Route, RouteContext } from "./exchange.js";
 import { buildError, buildJson, buildOutcomeReply } from "./replies.js";
 
-const NOTICE_RETRY_MS = 1_000;
+const DRAINING_RETRY_MS = 1_000;
 
 export const HEALTH_ROUTES: readonly Route[] = [
     {
@@ -29,7 +29,7 @@
             message: "this entry is shutting down",
             remedy: "send new requests to another entry",
             ran: "no",
-            retryAfterMs: NOTICE_RETRY_MS,
+            retryAfterMs: DRAINING_RETRY_MS,
         }, { "x-request-id": exchange.requestId });
     }
     const refusal = context.callers.findRefusal();
--- a/src/request/http/index.ts
+++ b/src/request/http/index.ts
@@ -1,4 +1,4 @@
-/** Handlers of single HTTP requests. */
+/** Routes of the HTTP interface and their handlers. */
 export { Access, DEFAULT_REQUEST_LIMITS } from "./exchange.js";
 export type { Exchange, HttpReply, Identity, RequestLimits, Route, RouteContext } from "./exchange.js";
 export { renderJob, renderOutcome } from "./job-view.js";
--- a/src/request/http/input-checks.ts
+++ b/src/request/http/input-checks.ts
@@ -1,21 +1,20 @@
-/** Checks of headers, query and JSON bodies: every fault at once, each with path, found, allowed and remedy. */
+/** Validation of headers, query parameters and JSON bodies. Reports all faults of an input together. */
 import type { z } from "zod";
 import type { SettingsFault } from "../../process/operator-gateway.js";
 
-/** Result of a check. */
+/** Result of a check: the value, or all faults. */
 export type Checked<Value> =
     | { readonly kind: "valid"; readonly value: Value; }
     | { readonly kind: "invalid"; readonly faults: readonly SettingsFault[]; };
 
-/** Longest text of a found value that is repeated in an answer. */
+/** Length to which a found value is truncated in an answer. */
 const MAX_FOUND_LENGTH = 80;
-/** Faults listed in one answer. */
+/** Largest number of faults listed in one answer. */
 const MAX_FAULTS = 50;
 
 /**
  * Parses and checks a JSON body.
- * @param body - Bytes of the body.
- * @param schema - A strict schema; its messages say what is allowed.
+ * @param schema - A strict schema whose messages state what is allowed.
  */
 export function parseJsonBody<Schema extends z.ZodType>(
     body: Uint8Array,
@@ -36,9 +35,8 @@
 }
 
 /**
- * Checks a value that came from outside.
- * @param value - Anything.
- * @param schema - A strict schema.
+ * Checks an untrusted value.
+ * @param schema - A strict schema whose messages state what is allowed.
  */
 export function checkValue<Schema extends z.ZodType>(
     value: unknown,
@@ -52,15 +50,15 @@
     return { kind: "invalid", faults: faults.slice(0, MAX_FAULTS) };
 }
 
-/** Builds a fault. */
+/** Builds a fault; a long `found` is truncated. */
 export function buildFault(path: string, found: string, allowed: string, remedy: string): SettingsFault {
     return { path, found: truncateText(found), allowed, remedy };
 }
 
 /**
- * Reads a whole number from text, such as a header or a query parameter.
- * @param path - Named in the fault.
- * @param text - What was given; undefined gives the fallback.
+ * Parses an integer from text, such as a header or a query parameter.
+ * @param path - Name of the input, for the fault.
+ * @param text - The input; undefined yields the fallback.
  */
 export function parseWholeNumber(
     path: string,
@@ -80,7 +78,7 @@
 
 /**
  * Checks a text against a pattern.
- * @param allowed - Says in words what the pattern allows.
+ * @param allowed - Description of what the pattern allows, for the fault.
  */
 export function checkText(
     path: string,
@@ -106,11 +104,11 @@
             )
         );
     }
-    const found = describeFound(findAt(value, issue.path));
+    const found = describeFound(findValueAt(value, issue.path));
     return [buildFault(path === "" ? "body" : path, found, issue.message, `change it to: ${issue.message}`)];
 }
 
-function findAt(value: unknown, path: readonly PropertyKey[]): unknown {
+function findValueAt(value: unknown, path: readonly PropertyKey[]): unknown {
     return path.reduce<unknown>(
         (inner, key) =>
             typeof inner === "object" ?
--- a/src/request/http/job-routes.ts
+++ b/src/request/http/job-routes.ts
@@ -1,4 +1,4 @@
-/** Jobs: hand in, look at, wait for, cancel, explain. */
+/** Routes for jobs: submit, show, wait, cancel and explain. */
 import { z } from "zod";
 import type { HomeReply, HomeRequest } from "../../connection/messages.js";
 import type { BranchSettings } from "../../version/settings.js";
@@ -44,10 +44,10 @@
     },
 ];
 
-/** Largest amounts of one task; far above any worker, so that sums stay exact. */
-const MAX_AMOUNT = 1_000_000_000;
+/** Largest amount of a resource for one task; far above any worker's, and small enough for exact sums. */
+const MAX_RESOURCE_AMOUNT = 1_000_000_000;
 const MAX_ESTIMATE_MS = 365 * 86_400_000;
-const ASK_AGAIN_MS = 1_000;
+const UNCERTAIN_RETRY_MS = 1_000;
 
 function buildWholeNumber(least: number, most: number): z.ZodInt {
     const allowed = `a whole number from ${least} to ${most}`;
@@ -55,9 +55,9 @@
 }
 
 const resourcesSchema = z.strictObject({
-    cpuMillis: buildWholeNumber(1, MAX_AMOUNT),
-    memoryMib: buildWholeNumber(1, MAX_AMOUNT),
-    accelerators: buildWholeNumber(0, MAX_AMOUNT).default(0),
+    cpuMillis: buildWholeNumber(1, MAX_RESOURCE_AMOUNT),
+    memoryMib: buildWholeNumber(1, MAX_RESOURCE_AMOUNT),
+    accelerators: buildWholeNumber(0, MAX_RESOURCE_AMOUNT).default(0),
 }, "an object with cpuMillis, memoryMib and accelerators");
 
 function buildJobSchema(maxTasks: number, maxPayloadBytes: number) {
@@ -99,7 +99,7 @@
     return withLocation(buildHomeReply(jobId, reply), jobId, reply);
 }
 
-/** Adds what the branch gives where the caller left it out. */
+/** Fills in the defaults of the branch for fields that the caller omitted. */
 function fillSpec(
     input: JobInput,
     idempotencyKey: string | undefined,
@@ -176,21 +176,21 @@
     return exchange.params["id"] ?? "";
 }
 
-/** The team whose work the token shows; undefined for operators, who see all. */
+/** Returns the team whose work the token may see; undefined for operators, who see all teams. */
 function getTeam(exchange: Exchange): string | undefined {
     return exchange.identity?.kind === "team" ? exchange.identity.caller.team : undefined;
 }
 
 type ReplyOf<Kind extends HomeReply["kind"]> = Extract<HomeReply, { readonly kind: Kind; }>;
 
-/** An answer of a job's owner and the job that was asked about. */
-interface HomeAnswerOf<Reply> {
+/** A reply of a job's owner, with the id of the job. */
+interface JobReplyOf<Reply> {
     readonly jobId: string;
     readonly reply: Reply;
 }
 
 const homeReplies: {
-    readonly [Kind in HomeReply["kind"]]: (answer: HomeAnswerOf<ReplyOf<Kind>>) => HttpReply;
+    readonly [Kind in HomeReply["kind"]]: (answer: JobReplyOf<ReplyOf<Kind>>) => HttpReply;
 } = {
     job: ({ reply }) => buildJson(reply.created ? 202 : 200, renderJob(reply.job)),
     explanation: ({ jobId, reply }) => buildJson(200, { jobId, lines: reply.lines }),
@@ -209,7 +209,7 @@
             ran: "no",
         }),
     refused: ({ reply }) => buildOutcomeReply(reply.outcome),
-    // A 500 for the reason given at `mayHaveRun`: proxies must not repeat it by themselves.
+    // A 500 for the same reason as `mayHaveRun`: proxies must not retry it on their own.
     uncertain: ({ reply }) =>
         buildError(500, {
             kind: "uncertain",
@@ -217,11 +217,11 @@
             remedy:
                 "send the same request again with the same idempotency key, or look at the job's location",
             ran: "unknown",
-            retryAfterMs: ASK_AGAIN_MS,
+            retryAfterMs: UNCERTAIN_RETRY_MS,
         }),
 };
 
 function buildHomeReply(jobId: string, reply: HomeReply): HttpReply {
-    const build = homeReplies[reply.kind] as (answer: HomeAnswerOf<HomeReply>) => HttpReply;
+    const build = homeReplies[reply.kind] as (answer: JobReplyOf<HomeReply>) => HttpReply;
     return build({ jobId, reply });
 }
--- a/src/request/http/job-view.ts
+++ b/src/request/http/job-view.ts
@@ -1,13 +1,10 @@
-/** Jobs as JSON for callers. */
+/** JSON representation of jobs and outcomes for callers. */
 import type { Outcome } from "../../common/outcome.js";
 import type { JobView, TaskView } from "../work.js";
 
 const TEXT_TYPES = /^(text\/|application\/(json|xml|x-ndjson)\b)/;
 
-/**
- * Renders a job for its caller.
- * @param job - The job.
- */
+/** Renders a job for its caller. */
 export function renderJob(job: JobView): Record<string, unknown> {
     return {
         jobId: job.jobId,
@@ -25,10 +22,7 @@
     return { ...task, outcome: task.outcome && renderOutcome(task.outcome) };
 }
 
-/**
- * Renders an outcome: answers in a text format as text, others in base 64.
- * @param outcome - How work ended.
- */
+/** Renders an outcome, with answers in a text format as text and others in Base64. */
 export function renderOutcome(outcome: Outcome): unknown {
     if (outcome.kind !== "done") {
         return outcome;
--- a/src/request/http/replies.ts
+++ b/src/request/http/replies.ts
@@ -1,4 +1,4 @@
-/** Answers of the HTTP interface: JSON bodies, errors, and the table from outcomes to HTTP status. */
+/** Builds the answers of the HTTP interface: JSON bodies, errors, and the HTTP status of each outcome. */
 import { NotRunReason } from "../../common/outcome.js";
 import type { Outcome } from "../../common/outcome.js";
 import type { SettingsFault } from "../../process/operator-gateway.js";
@@ -7,29 +7,27 @@
 /** Media type of JSON answers. */
 export const JSON_TYPE = "application/json";
 
-/** Whether what a request asked for was carried out. */
+/** Whether the requested work ran. */
 export type Ran = "no" | "yes" | "unknown";
 
-/** Body of every answer that is not a success; docs/CALLERS.md documents it. */
+/** Body of every error answer; documented in docs/CALLERS.md. */
 export interface ErrorBody {
     readonly kind: string;
     readonly message: string;
     /** What the caller can do. */
     readonly remedy: string;
     readonly ran: Ran;
-    /** When asking again is worthwhile, in milliseconds; absent where it never is. */
+    /** Time in milliseconds after which a retry is worthwhile; absent if it never is. */
     readonly retryAfterMs?: number;
-    /** For `notRun`: why. */
+    /** Why the work did not run, for kind `notRun`. */
     readonly reason?: string;
-    /** For `invalid`: every fault that was found. */
+    /** All faults that were found, for kind `invalid`. */
     readonly faults?: readonly SettingsFault[];
 }
 
 /**
  * Builds a JSON answer.
- * @param status - HTTP status.
- * @param value - The body.
- * @param headers - Further headers.
+ * @param headers - Additional headers.
  */
 export function buildJson(status: number, value: unknown, headers?: HttpReply["headers"]): HttpReply {
     return { status, contentType: JSON_TYPE, body: JSON.stringify(value), headers };
@@ -38,10 +36,8 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Builds an error answer, with `Retry-After` where asking again is worthwhile.
- * @param status - HTTP status.
- * @param error - The body.
- * @param headers - Further headers.
+ * Builds an error answer, with `Retry-After` if a retry is worthwhile.
+ * @param headers - Additional headers.
  */
 export function buildError(status: number, error: ErrorBody, headers?: HttpReply["headers"]): HttpReply {
     if (error.retryAfterMs === undefined) {
@@ -52,8 +48,8 @@
 }
 
 /**
- * HTTP status of work that was not run, by reason. 503 says that the same request may succeed later; other
- * codes that it will not as it stands.
+ * HTTP status of work that did not run, by reason. 503 means that the same request may succeed later; the
+ * other codes mean that it cannot succeed unchanged.
  */
 export const NOT_RUN_STATUS: Readonly<Record<NotRunReason, number>> = {
     [NotRunReason.overloaded]: 503,
@@ -73,8 +69,8 @@
 type OutcomeOf<Kind extends Outcome["kind"]> = Extract<Outcome, { readonly kind: Kind; }>;
 
 /**
- * From outcome to answer. `mayHaveRun` is a 500 and no 502, 503 or 504, since proxies repeat those by
- * themselves, and the work must not be sent again.
+ * Builds the answer for each kind of outcome. `mayHaveRun` is a 500 rather than a 502, 503 or 504, since
+ * proxies retry those on their own and the work must not be sent again.
  */
 const outcomeReplies: { readonly [Kind in Outcome["kind"]]: (outcome: OutcomeOf<Kind>) => HttpReply; } = {
     done: outcome => ({
@@ -118,19 +114,13 @@
         }),
 };
 
-/**
- * Builds the answer for an outcome.
- * @param outcome - How the work ended.
- */
+/** Builds the answer for an outcome. */
 export function buildOutcomeReply(outcome: Outcome): HttpReply {
     const build = outcomeReplies[outcome.kind] as (outcome: Outcome) => HttpReply;
     return build(outcome);
 }
 
-/**
- * Builds the answer to input with faults.
- * @param faults - All that were found.
- */
+/** Builds the answer to input with faults. */
 export function buildInvalid(faults: readonly SettingsFault[]): HttpReply {
     return buildError(400, {
         kind: "invalid",
@@ -141,7 +131,7 @@
     });
 }
 
-/** Builds the answer for work or a path that does not exist, or that the token's team may not see. */
+/** Builds the answer for work or a path that does not exist or that the token's team may not see. */
 export function buildNotFound(what: string, remedy: string): HttpReply {
     return buildError(404, { kind: "notFound", message: `there is no ${what}`, remedy, ran: "no" });
 }
--- a/src/request/http/route-table.ts
+++ b/src/request/http/route-table.ts
@@ -1,4 +1,4 @@
-/** All routes of the HTTP interface. docs/openapi.json documents them, and a test holds the two together. */
+/** All routes of the HTTP interface. A test checks that docs/openapi.json documents them. */
 import { ADMIN_ROUTES } from "./admin-routes.js";
 import type { Route } from "./exchange.js";
 import { HEALTH_ROUTES } from "./health-routes.js";
--- a/src/request/http/service-routes.ts
+++ b/src/request/http/service-routes.ts
@@ -1,4 +1,4 @@
-/** Service requests: the body goes to a worker, its whole answer comes back. */
+/** Route for service requests: forwards the body to a worker and returns its complete answer. */
 import type { SettingsFault } from "../../process/operator-gateway.js";
 import type { Caller, ServiceRequest } from "../work.js";
 import { Access } from "./exchange.js";
@@ -7,7 +7,7 @@
 import type { Checked } from "./input-checks.js";
 import { buildInvalid, buildNotFound, buildOutcomeReply } from "./replies.js";
 
-/** Idempotency keys: visible ASCII. */
+/** Pattern of idempotency keys. */
 export const KEY_PATTERN = /^[\x21-\x7e]{1,128}$/;
 export const KEY_ALLOWED = "1 to 128 visible ASCII characters";
 
@@ -24,16 +24,19 @@
     },
 ];
 
-/** Refuses new work before its body is read, while the entry takes none. */
+/** Refuses new work before its body is read while the entry accepts none. */
 export function refuseNewWork(context: RouteContext): HttpReply | undefined {
     const refusal = context.callers.findRefusal();
     return refusal && buildOutcomeReply(refusal);
 }
 
-/** The caller of a route that takes teams' tokens only. */
+/**
+ * Returns the caller of a request to a route that accepts only teams' tokens.
+ * @throws Error if the request has no team's token.
+ */
 export function requireCaller(exchange: Exchange): Caller {
     if (exchange.identity?.kind !== "team") {
-        throw new Error("the route table lets teams' tokens through only");
+        throw new Error("request without a team's token reached a route that requires one");
     }
     return exchange.identity.caller;
 }
@@ -89,7 +92,7 @@
             branch,
             body: exchange.body,
             contentType: getHeader(exchange, "content-type") ?? DEFAULT_CONTENT_TYPE,
-            // Left out means not repeatable: the safe reading, which costs two writes to the store.
+            // Not repeatable if omitted: the safe default, at the cost of two writes to the store.
             repeatable: repeatable.value === "true",
             idempotencyKey: key.value,
             deadline: exchange.receivedAt + deadline.value,
@@ -99,12 +102,12 @@
     return { kind: "invalid", faults: [deadline, key, repeatable].flatMap(listFaultsOf) };
 }
 
-/** Lists the faults of a check; none if it was valid. */
+/** Lists the faults of a check; empty if the input was valid. */
 export function listFaultsOf(checked: Checked<unknown>): readonly SettingsFault[] {
     return checked.kind === "invalid" ? checked.faults : [];
 }
 
-/** Returns a header that may stand once only. */
+/** Returns the value of a header; repeated headers are joined with commas. */
 export function getHeader(exchange: Exchange, name: string): string | undefined {
     const value = exchange.headers[name];
     return Array.isArray(value) ? value.join(", ") : value;
--- a/src/request/http/tokens.ts
+++ b/src/request/http/tokens.ts
@@ -1,4 +1,4 @@
-/** Bearer tokens: who a request comes from, and whether a route takes it. */
+/** Bearer tokens: identifies the sender of a request and decides whether a route accepts it. */
 import * as crypto from "node:crypto";
 import type { SettingsVersion } from "../../version/settings.js";
 import { Access } from "./exchange.js";
@@ -8,11 +8,11 @@
 /** A token of an operator, from the entry's settings. */
 export interface OperatorToken {
     readonly name: string;
-    /** SHA-256 of the token, in hexadecimal. */
+    /** SHA-256 of the token in hexadecimal. */
     readonly sha256: string;
 }
 
-/** Codes of docs/WARNINGS.md. */
+/** Warning codes, listed in docs/WARNINGS.md. */
 export const TokenCode = {
     unknown: "CR1401",
     wrongScope: "CR1402",
@@ -28,26 +28,27 @@
     readonly identity: Identity;
 }
 
-/** Hexadecimal digits of a hash that pick the tokens to compare. */
+/** Leading hexadecimal digits of a hash that select the bucket of tokens to compare. */
 const BUCKET_DIGITS = 4;
 const CALLER_PATTERN = /^[\w.:@-]{1,64}$/;
 
-/** Knows all tokens of one settings version and of the entry's settings. */
+/** Table of all tokens in the settings tree and in the entry's settings. */
 export class TokenTable {
     private settings: SettingsVersion | undefined;
     private buckets = new Map<string, KnownToken[]>();
 
-    /** @param operators - Tokens from the entry's settings. */
+    /** @param operators - Operators' tokens from the entry's settings. */
     constructor(private readonly operators: readonly OperatorToken[]) {
         this.rebuild();
     }
 
     /**
-     * Finds whose token it is.
+     * Finds the identity that a token belongs to.
      *
-     * @remarks The hash picks a few candidates and is compared with each in constant time. The time that the
-     * pick takes tells at most a few digits of the hash, from which nobody can make a token.
-     * @param settings - The version in force; teams' tokens stand in it.
+     * @remarks The first digits of the hash select a few candidates, and the hash is compared with each in
+     * constant time. The time of the selection reveals at most these digits, from which no token can be
+     * derived.
+     * @param settings - The version in force, which holds the teams' tokens.
      */
     findIdentity(token: string, settings: SettingsVersion | undefined): Identity | undefined {
         if (settings !== this.settings) {
@@ -89,13 +90,13 @@
 
 const SHA256_BYTES = 32;
 
-/** By the one call that newer versions of Node have, which costs a third. */
+/** Uses `crypto.hash` where this version of Node has it: it costs a third of `createHash`. */
 function hashToken(token: string): Buffer {
     const { hash }: Partial<Pick<typeof crypto, "hash">> = crypto;
     return hash?.("sha256", token, "buffer") ?? crypto.createHash("sha256").update(token).digest();
 }
 
-const accessTable: Readonly<Record<Access, readonly Identity["kind"][]>> = {
+const acceptedIdentities: Readonly<Record<Access, readonly Identity["kind"][]>> = {
     [Access.open]: [],
     [Access.team]: ["team"],
     [Access.operator]: ["operator"],
@@ -104,9 +105,9 @@
 
 /**
  * Decides whether a request may use a route.
- * @param access - Whose tokens the route takes.
- * @param authorization - The header, if there was one.
- * @param callerId - Who the team says asks, for fairness between a team's callers.
+ * @param access - Whose tokens the route accepts.
+ * @param authorization - The `Authorization` header, if present.
+ * @param callerId - The caller within the team, as named by the team; for fairness among its callers.
  */
 export function decideAccess(
     access: Access,
@@ -126,7 +127,7 @@
     if (identity === undefined) {
         return refuseUnknown("the token is not known");
     }
-    if (!accessTable[access].includes(identity.kind)) {
+    if (!acceptedIdentities[access].includes(identity.kind)) {
         return refuseScope(access);
     }
     return { kind: "accepted", identity: withCallerId(identity, callerId) };
@@ -151,11 +152,11 @@
 }
 
 function refuseScope(access: Access): TokenDecision {
-    const wanted = access === Access.team ? "a team's token" : "an operators' token";
+    const requiredToken = access === Access.team ? "a team's token" : "an operators' token";
     const reply = buildError(403, {
         kind: "forbidden",
         message: "the token may not be used here",
-        remedy: `use ${wanted}`,
+        remedy: `use ${requiredToken}`,
         ran: "no",
     });
     return { kind: "refused", code: TokenCode.wrongScope, reply };
--- a/src/request/work.ts
+++ b/src/request/work.ts
@@ -1,31 +1,31 @@
-/** Units of work: service requests, jobs and the tasks of jobs, as callers hand them in. */
+/** Units of work that callers submit: service requests, jobs and the tasks of jobs. */
 import type { Millis } from "../common/clock.js";
 import type { Outcome } from "../common/outcome.js";
 import type { Resources } from "../common/resources.js";
 
-/** Kinds of work; the settings tree chooses a policy for each branch of a kind. */
+/** Kinds of work; the settings tree sets the policy for each branch of a kind. */
 export const WorkKind = {
     /** A request answered by a running service. */
     service: "service",
-    /** Independent tasks, packing first. */
+    /** Independent tasks, placed for dense packing. */
     batch: "batch",
     /** Tasks that all start together or not at all. */
     gang: "gang",
-    /** A few small tasks whose waiting time matters. */
+    /** A few small tasks for which waiting time matters most. */
     short: "short",
 } as const;
 export type WorkKind = (typeof WorkKind)[keyof typeof WorkKind];
 
-/** Kinds of work that are handed in as jobs. */
+/** Kinds of work that are submitted as jobs. */
 export type JobKind = Exclude<WorkKind, "service">;
 
-/** Who asks, as established by the caller's token. */
+/** The caller, as identified by its token. */
 export interface Caller {
     readonly callerId: string;
     readonly team: string;
 }
 
-/** A service request, checked. */
+/** A validated service request. */
 export interface ServiceRequest {
     readonly requestId: string;
     readonly caller: Caller;
@@ -33,26 +33,26 @@
     readonly branch: string;
     readonly body: Uint8Array;
     readonly contentType: string;
-    /** Whether it may be run again when it is proved that it did not run or had ended. */
+    /** Whether it may be run again once it provably did not run or has ended. */
     readonly repeatable: boolean;
     readonly idempotencyKey?: string;
     /** Instant on this entry's clock by which the caller wants the answer. */
     readonly deadline: Millis;
 }
 
-/** A job, checked. */
+/** A validated job. */
 export interface JobSpec {
     readonly kind: JobKind;
     readonly branch: string;
     /** Number of tasks, at least 1. */
     readonly tasks: number;
-    /** What each task needs. */
+    /** Resources that each task demands. */
     readonly resources: Resources;
-    /** Declared run time of a task; often wrong. */
+    /** Run time of a task as declared by the caller; often inaccurate. */
     readonly estimateMs?: Millis;
     readonly urgent: boolean;
     readonly repeatable: boolean;
-    /** What workers run; opaque. */
+    /** Input for the workers; opaque to the scheduler. */
     readonly payload: string;
     readonly idempotencyKey?: string;
 }
@@ -72,7 +72,7 @@
     readonly spec: JobSpec;
     readonly state: JobState;
     readonly submittedWallMs: number;
-    /** Tasks by state; the numbers add up to `spec.tasks`. */
+    /** Number of tasks by state; the sum is `spec.tasks`. */
     readonly counts: {
         readonly waiting: number;
         readonly running: number;
@@ -82,11 +82,11 @@
         readonly mayHaveRun: number;
         readonly cancelled: number;
     };
-    /** The first tasks with their outcomes and places, at most {@link MAX_TASKS_SHOWN}. */
+    /** The first tasks with their outcomes and workers, at most {@link MAX_TASKS_SHOWN}. */
     readonly tasks: readonly TaskView[];
 }
 
-/** Tasks listed in a {@link JobView}. */
+/** Largest number of tasks listed in a {@link JobView}. */
 export const MAX_TASKS_SHOWN = 100;
 
 /** A task as its caller sees it. */
@@ -96,6 +96,6 @@
     readonly workerId?: string;
     readonly outcome?: Outcome;
     readonly attempts: number;
-    /** What a waiting task waits for, in words. */
+    /** What a waiting task waits for, as text. */
     readonly waitsFor?: string;
 }
--- a/src/test/command/command-line_test.ts
+++ b/src/test/command/command-line_test.ts
@@ -1,4 +1,4 @@
-/** The command line against an entry's interface: output, refusals and exit codes. */
+/** Tests of the command line against a fake entry: output, errors and exit codes. */
 import assert from "node:assert/strict";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -35,9 +35,9 @@
     const cases: readonly { name: string; args: string[]; }[] = [
         { name: "an unknown command", args: ["frobnicate"] },
         { name: "a missing option", args: ["check"] },
-        { name: "a file that is not there", args: ["check", "--settings", "/nonexistent/entry.json"] },
-        { name: "an address that is none", args: ["status", "--entry", "nowhere"] },
-        { name: "a change that is none", args: ["tree", "check", "queueLimit"] },
+        { name: "a missing file", args: ["check", "--settings", "/nonexistent/entry.json"] },
+        { name: "an invalid address", args: ["status", "--entry", "nowhere"] },
+        { name: "a malformed change", args: ["tree", "check", "queueLimit"] },
         { name: "neither file nor changes", args: ["tree", "set"] },
     ];
     for (const { name, args } of cases) {
@@ -57,7 +57,7 @@
 });
 
 describe("check", () => {
-    it("reports three faults at once and nothing else", async () => {
+    it("reports all three faults at once and prints nothing else", async () => {
         const path = writeFile("three.json", {
             memberName: "entry-1",
             cell: "Porte Aperte",
@@ -89,7 +89,7 @@
     }
 });
 
-describe("commands that ask an entry", () => {
+describe("commands that call an entry", () => {
     const tree = { children: { batch: { kind: "batch", settings: { queueLimit: 5 } } } };
     let entry: RunningStandIn;
     let editReply: { status: number; value: unknown; };
@@ -154,7 +154,7 @@
         },
     ];
     for (const { name, reply, code, output } of editCases) {
-        it(`tell of an edit that is ${name}`, async () => {
+        it(`report an edit that is ${name}`, async () => {
             editReply = reply;
             const result = await run(
                 "tree",
@@ -175,7 +175,7 @@
         });
     }
 
-    it("bring in a file as the changes that it makes", async () => {
+    it("submit only the differences between a file and the tree", async () => {
         editReply = editCases[0]?.reply ?? assert.fail();
         const file = writeFile("tree.json", {
             children: { batch: { kind: "batch", settings: { weight: 2 } } },
@@ -187,13 +187,13 @@
         ]);
     });
 
-    it("exit with 1 and the remedy when the entry refuses", async () => {
+    it("exit with 1 and print the remedy when the entry refuses", async () => {
         const { code, stdout, stderr } = await run("job", "show", "--entry", entry.url, "j1");
         assert.deepEqual({ code, stdout }, { code: 1, stdout: "" });
         assert.match(stderr, /there is no job\nremedy: look/);
     });
 
-    it("exit with 1 when nobody answers", async () => {
+    it("exit with 1 when the entry does not answer", async () => {
         const { code, stderr } = await run("status", "--entry", "http://127.0.0.1:1");
         assert.equal(code, 1);
         assert.match(stderr, /check --entry/);
--- a/src/test/common/fake-clock_test.ts
+++ b/src/test/common/fake-clock_test.ts
@@ -1,4 +1,4 @@
-/** The fake clock orders timers by time and then by creation, so that seeds repeat. */
+/** The fake clock orders timers by due time, then by creation, so that a seed reproduces its run. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { sleep } from "../../common/clock.js";
@@ -30,7 +30,7 @@
         assert.equal(ran, false);
     });
 
-    it("moves time to where a promise settles", async () => {
+    it("advances time until a promise settles", async () => {
         const clock = new FakeClock();
         await clock.wait(sleep(clock, 40), 100);
         assert.equal(clock.now(), 40);
--- a/src/test/connection/http/http-server_test.ts
+++ b/src/test/connection/http/http-server_test.ts
@@ -93,7 +93,7 @@
             assert.deepEqual([body["kind"], body["ran"]], [kind, "no"]);
             assert.equal(typeof body["remedy"], "string");
             await waitUntil(() => state.closed || status === 400, "the end of the connection");
-            assert.equal(gateway.served.length, 1);
+            assert.equal(gateway.serviceRequests.length, 1);
         });
     }
 
@@ -104,7 +104,7 @@
         await waitUntil(() => server.countInFlight() === 1, "the request");
         socket.destroy();
         await waitUntil(() => server.countInFlight() === 0, "its end");
-        assert.equal(gateway.served.length, 0);
+        assert.equal(gateway.serviceRequests.length, 0);
         assert.ok((metrics.counters.get("http.clientGone") ?? 0) > 0);
     });
 
@@ -119,7 +119,7 @@
                 DONE;
         const { socket } = openSocket(server.port);
         socket.write(`${buildHead("POST", BRANCH_PATH, ["content-length: 3"])}abc`);
-        await waitUntil(() => gateway.served.length === 1, "the request");
+        await waitUntil(() => gateway.serviceRequests.length === 1, "the request");
         socket.destroy();
         await waitUntil(() => server.countInFlight() === 0, "its end");
         finish(DONE);
@@ -147,7 +147,7 @@
         const { socket } = openSocket(server.port);
         socket.pause();
         socket.write(`${buildHead("POST", BRANCH_PATH, ["content-length: 1"])}x`);
-        await waitUntil(() => gateway.served.length === 1, "the request");
+        await waitUntil(() => gateway.serviceRequests.length === 1, "the request");
         await waitUntil(() => server.countInFlight() === 0, "the end of the request");
         assert.equal((await send("POST", BRANCH_PATH)).status, 200);
     });
@@ -167,7 +167,7 @@
                 finish = resolve;
             });
         const first = send("POST", BRANCH_PATH, { body: "a" });
-        await waitUntil(() => gateway.served.length === 1, "the first request");
+        await waitUntil(() => gateway.serviceRequests.length === 1, "the first request");
         const second = await send("POST", BRANCH_PATH, { body: "b" });
         assert.deepEqual([second.status, second.headers.get("retry-after")], [503, "1"]);
         assert.deepEqual([second.json()["reason"], second.json()["ran"]], ["overloaded", "no"]);
@@ -212,7 +212,7 @@
         const idle = openSocket(server.port);
         idle.socket.write(buildHead("GET", "/healthz"));
         await waitUntil(
-            () => gateway.served.length === 1 && idle.state.received.includes("ok"),
+            () => gateway.serviceRequests.length === 1 && idle.state.received.includes("ok"),
             "both requests",
         );
         server.startDraining();
@@ -231,7 +231,7 @@
         const { server, gateway, send, log } = await openHttp();
         gateway.serve = () => new Promise(() => undefined);
         const lost = assert.rejects(send("POST", BRANCH_PATH, { body: "a" }));
-        await waitUntil(() => gateway.served.length === 1, "the request");
+        await waitUntil(() => gateway.serviceRequests.length === 1, "the request");
         await server.close(20);
         await lost;
         assert.deepEqual(listCodes(log), ["CR1405"]);
@@ -254,7 +254,7 @@
         await waitUntil(() => waiting.length === 4, "all requests");
         waiting.forEach(finish => finish());
         assert.deepEqual((await replies).map(({ text }) => text), ["a", "b", "c", "d"]);
-        assert.equal(new Set(gateway.served.map(({ requestId }) => requestId)).size, 4);
+        assert.equal(new Set(gateway.serviceRequests.map(({ requestId }) => requestId)).size, 4);
     });
 
     it("distinguish a defect from a refusal", async () => {
--- a/src/test/docs/links_test.ts
+++ b/src/test/docs/links_test.ts
@@ -1,4 +1,4 @@
-/** Links between pages lead to files that exist. */
+/** Checks that relative links in Markdown pages point to existing files. */
 import assert from "node:assert/strict";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { dirname, join } from "node:path";
@@ -13,7 +13,7 @@
 
 describe("pages", () => {
     for (const page of listPages()) {
-        it(`${page} links to what exists`, () => {
+        it(`${page} links to existing files`, () => {
             const targets = [...readFileSync(page, "utf8").matchAll(LINK)].map(([, target]) => target ?? "");
             const broken = targets.filter(target => !existsSync(join(dirname(page), target)));
             assert.deepEqual(broken, []);
--- a/src/test/docs/pages_test.ts
+++ b/src/test/docs/pages_test.ts
@@ -1,4 +1,4 @@
-/** Generated pages are those that the program would write now. */
+/** Checks that the committed generated pages match what `npm run docs` would write. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
@@ -7,7 +7,7 @@
 
 describe("generated pages", () => {
     for (const [path, text] of renderPages()) {
-        it(`${path} is current`, () => {
+        it(`${path} is up to date`, () => {
             assert.equal(readFileSync(path, "utf8"), text, "run `npm run docs` and commit the result");
         });
     }
--- a/src/test/docs/warnings_test.ts
+++ b/src/test/docs/warnings_test.ts
@@ -1,4 +1,4 @@
-/** Every code of a warning or error stands in docs/WARNINGS.md with its remedy. */
+/** Checks that docs/WARNINGS.md lists the code of every warning and error. */
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
 import { it } from "node:test";
--- a/src/test/fakes/call-path.ts
+++ b/src/test/fakes/call-path.ts
@@ -1,27 +1,27 @@
-/** The way of calls from one member to one part of the platform, with the faults that may strike it. */
+/** The network path of calls from one member to one part of the platform, with injectable faults. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { Random } from "../../common/random.js";
 import type { PausableClock } from "./pausable-clock.js";
 
-/** What became of a call: `unavailable` surely had no effect, `unknown` may have had one. */
-export type CallEnd<Value> =
+/** Result of a call: `unavailable` had no effect for certain, `unknown` may have had one. */
+export type CallResult<Value> =
     | { readonly kind: "answered"; readonly value: Value; }
     | { readonly kind: "unavailable"; readonly message: string; }
     | { readonly kind: "unknown"; readonly message: string; };
 
-/** A fault of one call; planned faults strike the next calls in order. */
+/** A fault of one call; planned faults apply to the next calls in order. */
 export type CallFault =
-    /** The request is lost on its way: no effect, and the caller cannot tell. */
+    /** The request is lost in transit: it has no effect, and the caller can't tell. */
     | { readonly kind: "dropRequest"; }
     /** The answer is lost: the effect has happened. */
     | { readonly kind: "dropAnswer"; }
-    /** The request arrives late, perhaps long after the caller has given up. */
+    /** The request arrives late, possibly long after the caller has timed out. */
     | { readonly kind: "delayRequest"; readonly ms: Millis; }
     | { readonly kind: "delayAnswer"; readonly ms: Millis; }
     /** The connection is refused. */
     | { readonly kind: "refuseConnection"; };
 
-/** Standing faults of a path; a test changes them at any time. */
+/** Persistent faults of a path; a test may change them at any time. */
 export interface PathFaults {
     /** Nothing passes in either direction; connections fail. */
     unreachable: boolean;
@@ -29,17 +29,17 @@
     resets: boolean;
     /** Added to each direction, in milliseconds. */
     slowMs: Millis;
-    /** Shares of calls, from 0 to 1, struck at random. */
+    /** Fractions of calls, from 0 to 1, to which the fault applies at random. */
     dropRequestShare: number;
     dropAnswerShare: number;
     delayShare: number;
-    /** Most milliseconds of a random delay. */
+    /** Upper bound of a random delay, in milliseconds. */
     delayLimitMs: Millis;
 }
 
-/** Speed of a path. */
+/** Latency of a path, and the source of its random faults. */
 export interface CallPathOptions {
-    /** One way, in milliseconds. */
+    /** One-way latency in milliseconds. */
     readonly latencyMs: Millis;
     readonly random: Random;
 }
@@ -56,13 +56,12 @@
         delayLimitMs: 0,
     };
     private readonly planned: CallFault[] = [];
-    /** Calls so far. */
+    /** Number of calls made so far. */
     calls = 0;
 
     /**
-     * @param base - The clock of the whole test: what is under way goes on while a member is paused.
+     * @param base - The clock of the whole test: calls in flight proceed while a member is paused.
      * @param member - The clock of the calling member: answers are delivered through it.
-     * @param options - Speed of the path.
      */
     constructor(
         private readonly base: Clock,
@@ -70,12 +69,12 @@
         private readonly options: CallPathOptions,
     ) {}
 
-    /** Makes the next calls meet these faults, one each. */
+    /** Applies these faults to the next calls, one each. */
     plan(...faults: readonly CallFault[]): void {
         this.planned.push(...faults);
     }
 
-    /** Makes the very next call meet a fault, before those planned. */
+    /** Applies a fault to the next call, before the faults already planned. */
     planNext(fault: CallFault): void {
         this.planned.unshift(fault);
     }
@@ -83,12 +82,12 @@
     /**
      * Makes a call.
      * @param effect - What the target does when the request arrives; it never settles if the target dies.
-     * @param timeout - Milliseconds after which the caller gives up.
+     * @param timeout - Milliseconds after which the call ends as `unknown`.
      */
     request<Value>(
         effect: () => Promise<Value> | Value,
         timeout: Millis,
-    ): Promise<CallEnd<Value>> {
+    ): Promise<CallResult<Value>> {
         this.calls += 1;
         const fault = this.planned.shift() ?? this.pickFault();
         if (this.faults.unreachable || fault?.kind === "refuseConnection") {
@@ -139,7 +138,7 @@
         });
     }
 
-    private finishLater<Value>(delay: Millis, end: CallEnd<Value>): Promise<CallEnd<Value>> {
+    private finishLater<Value>(delay: Millis, end: CallResult<Value>): Promise<CallResult<Value>> {
         return new Promise(resolve => {
             this.member.schedule(delay, () => resolve(end));
         });
--- a/src/test/fakes/fake-cell.ts
+++ b/src/test/fakes/fake-cell.ts
@@ -1,6 +1,6 @@
 /**
- * A cell in one process: entries built as the program builds them, over fakes at the ports and one fake clock.
- * Not a simulator: what is faked is the other side of each port, nothing of the system itself.
+ * A cell in one process: entries built as in production, over fakes at the ports and one fake clock. Only the
+ * other side of each port is faked, no part of the system itself.
  */
 import type { Millis } from "../../common/clock.js";
 import { createRandom, makeUniqueId, type Random } from "../../common/random.js";
@@ -23,21 +23,21 @@
 import { FakeWorkerPort } from "./fake-worker-port.js";
 import { PausableClock } from "./pausable-clock.js";
 
-/** Size of a fake cell. */
+/** Size and settings of a fake cell. */
 export interface FakeCellOptions {
     readonly seed?: number;
     readonly entries?: number;
     readonly workers?: number;
-    /** Workers in a rack; racks take turns over the failure domains. */
+    /** Workers in a rack; racks are distributed round-robin over the failure domains. */
     readonly rackSize?: number;
     readonly failureDomains?: readonly string[];
     readonly worker?: Partial<Omit<WorkerModelOptions, "workerId" | "journal">>;
-    /** Changes of the root and its branches made once the cell stands. */
+    /** Changes of the settings tree made once all entries are members. */
     readonly changes?: readonly FieldChange[];
     readonly shutdownMs?: Millis;
 }
 
-/** One entry of a fake cell, with the handles for its faults. */
+/** One entry of a fake cell, with the handles for injecting faults. */
 export interface FakeMember {
     readonly memberId: string;
     readonly entry: Entry;
@@ -52,13 +52,13 @@
 /** Longest time until a new cell is ready, in fake milliseconds. */
 const READY_LIMIT_MS: Millis = 30_000;
 const STEP_MS: Millis = 50;
-/** Time without a change of the table after which no hand-over is due: two paces of planned moves. */
-const STEADY_MS: Millis = 2_000;
-/** Two digest intervals: every entry has heard of every other's workers. */
+/** Time without a table change after which no handover is due: two intervals of planned moves. */
+const STABLE_TABLE_MS: Millis = 2_000;
+/** Two digest intervals: by then every entry has received a digest of every other entry's workers. */
 const DIGEST_SETTLE_MS: Millis = 500;
 const DEFAULT_DOMAINS = ["domain-a", "domain-b", "domain-c", "domain-d"];
 
-/** Branches that a fake cell has unless told otherwise. */
+/** Branches that a fake cell has by default. */
 export const DEFAULT_CHANGES: readonly FieldChange[] = [
     { path: "services", field: "kind", value: "service" },
     { path: "services/catalogue", field: "kind", value: "service" },
@@ -77,7 +77,7 @@
     readonly network: FakePeerNetwork;
     readonly workers = new Map<string, WorkerModel>();
     readonly members: FakeMember[] = [];
-    private readonly down = new Set<string>();
+    private readonly downWorkers = new Set<string>();
     private nextMember = 0;
 
     constructor(private readonly options: FakeCellOptions = {}) {
@@ -99,25 +99,25 @@
             throw new Error(`the first edit failed: ${JSON.stringify(reply)}`);
         }
         await this.waitUntil(() => this.isReady(), "all slices became ready");
-        await this.waitForSteadyTable();
+        await this.waitForStableTable();
         await this.clock.step(DIGEST_SETTLE_MS);
     }
 
-    /** Waits until the first entry has handed over to the others what they should own. */
-    private async waitForSteadyTable(): Promise<void> {
+    /** Waits until the first entry has handed over to the others their shares of the slices. */
+    private async waitForStableTable(): Promise<void> {
         let revision = -1;
         while (revision !== this.getTableRevision()) {
             revision = this.getTableRevision();
-            await this.clock.step(STEADY_MS);
+            await this.clock.step(STABLE_TABLE_MS);
         }
-        await this.waitUntil(() => this.isReady(), "all slices became ready after the hand-overs");
+        await this.waitUntil(() => this.isReady(), "all slices became ready after the handovers");
     }
 
     private getTableRevision(): number {
         return this.requireMember().entry.operators.getStatus().tableRevision;
     }
 
-    /** Makes an edit at the first entry that lives. */
+    /** Edits the settings, at the first live entry by default. */
     async edit(changes: readonly FieldChange[], member = this.requireMember()): Promise<EditReply> {
         const baseVersion = member.entry.operators.readTree()?.version ?? 0;
         const editId = makeUniqueId(this.random);
@@ -137,7 +137,7 @@
         const createPath = (): CallPath => new CallPath(this.clock, clock, { latencyMs: 1, random });
         const storePath = createPath();
         const workerPort = new FakeWorkerPort(
-            workerId => this.down.has(workerId) ? undefined : this.workers.get(workerId),
+            workerId => this.downWorkers.has(workerId) ? undefined : this.workers.get(workerId),
             createPath,
         );
         const log = createFakeLog(false);
@@ -175,7 +175,7 @@
         return member;
     }
 
-    /** Ends an entry without a word, as a crash does. */
+    /** Ends an entry without any notification, as a crash does. */
     kill(member: FakeMember): void {
         member.alive = false;
         member.clock.kill();
@@ -183,24 +183,24 @@
         this.network.cutMember(member.memberId);
     }
 
-    /** Takes a worker down: it answers nothing and its tasks end. */
+    /** Takes a worker down: it answers no calls and its tasks end. */
     killWorker(workerId: string): void {
         this.workers.get(workerId)?.close();
-        this.down.add(workerId);
+        this.downWorkers.add(workerId);
     }
 
-    /** Starts a worker again, with no memory of what it ran. */
+    /** Starts a worker again, without its previous state. */
     restartWorker(workerId: string): void {
-        this.down.delete(workerId);
+        this.downWorkers.delete(workerId);
         this.workers.get(workerId)?.restart();
     }
 
-    /** Entries that are not killed or shut down. */
+    /** Returns the entries that have not been killed or shut down. */
     listAlive(): readonly FakeMember[] {
         return this.members.filter(member => member.alive);
     }
 
-    /** The first entry that lives. */
+    /** Returns the first live entry. */
     requireMember(): FakeMember {
         const member = this.listAlive()[0];
         if (member === undefined) {
@@ -209,7 +209,7 @@
         return member;
     }
 
-    /** Moves time until a condition holds; fails after {@link READY_LIMIT_MS} unless told otherwise. */
+    /** Advances time until a condition holds; fails after the limit, {@link READY_LIMIT_MS} by default. */
     async waitUntil(condition: () => boolean, what: string, limit: Millis = READY_LIMIT_MS): Promise<void> {
         const end = this.clock.now() + limit;
         while (!condition()) {
@@ -220,7 +220,7 @@
         }
     }
 
-    /** Whether every slice has a live owner that has it ready. */
+    /** Tells whether every slice is ready at a live owner and every worker that is up is open for work. */
     isReady(): boolean {
         const alive = this.listAlive();
         const status = alive[0]?.entry.operators.getStatus();
@@ -232,7 +232,8 @@
         );
         const workers = alive.flatMap(member => member.entry.operators.getStatus().workers);
         return homes.length === status.homeSlices.length &&
-            workers.filter(worker => worker.state === "open").length >= this.workers.size - this.down.size;
+            workers.filter(worker => worker.state === "open").length >=
+                this.workers.size - this.downWorkers.size;
     }
 
     private isFormed(): boolean {
--- a/src/test/fakes/fake-clock.ts
+++ b/src/test/fakes/fake-clock.ts
@@ -1,8 +1,8 @@
-/** A clock that moves only when a test moves it. */
+/** A clock that advances only when a test advances it. */
 import { Heap } from "heap-js";
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 
-interface Pending {
+interface PendingTimer {
     readonly due: Millis;
     readonly order: number;
     readonly callback: () => void;
@@ -12,11 +12,11 @@
 /** Wall-clock time at instant 0 of every fake clock: 2026-01-01T00:00:00Z. */
 export const FAKE_EPOCH_MS = 1_767_225_600_000;
 
-/** A {@link Clock} under the control of a test; equal steps give equal orders of callbacks. */
+/** A {@link Clock} under the control of a test; callbacks run in a deterministic order. */
 export class FakeClock implements Clock {
     private instant: Millis = 0;
     private nextOrder = 0;
-    private readonly pending = new Heap<Pending>((left, right) =>
+    private readonly pending = new Heap<PendingTimer>((left, right) =>
         left.due - right.due || left.order - right.order
     );
 
@@ -29,7 +29,7 @@
     }
 
     schedule(delay: Millis, callback: () => void): Timer {
-        const entry: Pending = {
+        const entry: PendingTimer = {
             due: this.instant + Math.max(0, delay),
             order: this.nextOrder++,
             callback,
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Moves time forward, running what falls due in order; promise callbacks run after each timer.
-     * @param duration - Milliseconds to move.
+     * Advances time and runs due timers in order; promise callbacks run after each timer.
+     * @param duration - Milliseconds to advance.
      */
     async step(duration: Millis): Promise<void> {
         const end = this.instant + duration;
@@ -67,10 +67,8 @@
     }
 
     /**
-     * Moves time until a promise settles.
-     * @param promise - What to wait for.
-     * @param limit - Most milliseconds to move; beyond it the test fails.
-     * @returns The promise's value.
+     * Advances time until a promise settles, and returns its value.
+     * @param limit - Milliseconds of fake time after which an error is thrown.
      */
     async wait<Value>(promise: Promise<Value>, limit: Millis): Promise<Value> {
         let settled = false;
@@ -83,7 +81,7 @@
         while (!settled) {
             const due = this.pending.peek()?.due;
             if (due === undefined || due > end) {
-                throw new Error(`nothing settled the promise within ${limit} ms of fake time`);
+                throw new Error(`the promise did not settle within ${limit} ms of fake time`);
             }
             await this.step(Math.max(0, due - this.instant));
         }
--- a/src/test/fakes/fake-gateway.ts
+++ b/src/test/fakes/fake-gateway.ts
@@ -1,4 +1,6 @@
-/** An entry behind the HTTP interface, scripted: it answers what a test told it and keeps what it was asked. */
+/**
+ * A scripted entry behind the HTTP interface: it returns the answers that a test sets and records the requests.
+ */
 import { createHash } from "node:crypto";
 import type { Outcome } from "../../common/outcome.js";
 import type { HomeReply, HomeRequest } from "../../connection/messages.js";
@@ -41,15 +43,15 @@
     return { getCurrent: () => settings, isCurrent: () => true, subscribe: () => undefined };
 }
 
-/** Answers like an entry whose worker sends every body back in upper case. */
+/** Answers like an entry whose worker returns every body in upper case. */
 export class FakeGateway implements CallerGateway {
     refusal: Outcome | undefined;
-    readonly served: ServiceRequest[] = [];
-    readonly asked: HomeRequest[] = [];
+    readonly serviceRequests: ServiceRequest[] = [];
+    readonly homeRequests: HomeRequest[] = [];
     /** Replaces the answer to a service request. */
     serve: ((request: ServiceRequest) => Promise<Outcome> | Outcome) | undefined;
     /** Replaces the answer of a job's owner. */
-    answer: ((request: HomeRequest) => HomeReply) | undefined;
+    answerHome: ((request: HomeRequest) => HomeReply) | undefined;
     private readonly jobs = new Map<string, JobView>();
 
     findRefusal(): Outcome | undefined {
@@ -57,7 +59,7 @@
     }
 
     async runService(request: ServiceRequest): Promise<ServiceResult> {
-        this.served.push(request);
+        this.serviceRequests.push(request);
         const answer = Buffer.from(Buffer.from(request.body).toString().toUpperCase());
         const done: Outcome = { kind: "done", answer, contentType: request.contentType, workerId: "w1" };
         const outcome = await this.serve?.(request) ?? done;
@@ -71,24 +73,24 @@
     }
 
     callHome(jobId: string, request: HomeRequest): Promise<HomeReply> {
-        this.asked.push(request);
-        return Promise.resolve(this.answer?.(request) ?? this.findAnswer(jobId, request));
+        this.homeRequests.push(request);
+        return Promise.resolve(this.answerHome?.(request) ?? this.buildReply(jobId, request));
     }
 
-    private findAnswer(jobId: string, request: HomeRequest): HomeReply {
-        const known = this.jobs.get(jobId);
+    private buildReply(jobId: string, request: HomeRequest): HomeReply {
+        const existing = this.jobs.get(jobId);
         if (request.kind === "submitJob") {
-            const job = known ?? makeJobView(jobId, request.caller, request.spec);
+            const job = existing ?? makeJobView(jobId, request.caller, request.spec);
             this.jobs.set(jobId, job);
-            return { kind: "job", job, created: known === undefined };
+            return { kind: "job", job, created: existing === undefined };
         }
         const team = "team" in request ? request.team : undefined;
-        if (known === undefined || (team !== undefined && team !== known.caller.team)) {
+        if (existing === undefined || (team !== undefined && team !== existing.caller.team)) {
             return { kind: "notFound" };
         }
         return request.kind === "explainJob" ?
             { kind: "explanation", lines: ["it waits for a worker"] } :
-            { kind: "job", job: known, created: false };
+            { kind: "job", job: existing, created: false };
     }
 }
 
--- a/src/test/fakes/fake-operator-gateway.ts
+++ b/src/test/fakes/fake-operator-gateway.ts
@@ -1,4 +1,4 @@
-/** The operators' side of an entry, scripted. */
+/** A scripted {@link OperatorGateway}: it returns the values that a test sets and records the edits. */
 import { NO_RESOURCES } from "../../common/resources.js";
 import type {
     DryRunReport,
--- a/src/test/fakes/fake-peer-network.ts
+++ b/src/test/fakes/fake-peer-network.ts
@@ -1,18 +1,18 @@
-/** Links between the members of a test: in order for each direction, lost when cut, held while paused. */
+/** Links between the members of a test: ordered in each direction, lossy when cut, deferred while paused. */
 import type { Clock, Millis } from "../../common/clock.js";
 import type { PeerMessage } from "../../connection/messages.js";
 import type { PeerAddress, PeerListener, PeerPort } from "../../process/ports/index.js";
 import type { PausableClock } from "./pausable-clock.js";
 
-/** Speeds of a {@link FakePeerNetwork}. */
+/** Timing and buffer size of a {@link FakePeerNetwork}. */
 export interface PeerNetworkOptions {
-    /** One way, in milliseconds. */
+    /** One-way latency in milliseconds. */
     readonly latencyMs?: Millis;
-    /** From a cut until both ends notice; what they send meanwhile is lost. */
+    /** Milliseconds from a cut until both ends detect it; what they send meanwhile is lost. */
     readonly detectMs?: Millis;
-    /** From a heal until the link is up again. */
+    /** Milliseconds from a heal until the link is up again. */
     readonly reconnectMs?: Millis;
-    /** Messages under way in one direction before `send` refuses. */
+    /** Messages in flight in one direction from which on `send` refuses. */
     readonly bufferLimit?: number;
 }
 
@@ -31,10 +31,10 @@
 
 interface Link {
     readonly ends: ReadonlyMap<string, LinkEnd>;
-    /** Rises when the link breaks: what was sent before is lost. */
+    /** Incremented when the link breaks: messages of an older generation are lost. */
     generation: number;
     cut: boolean;
-    /** From a break until the link is up again: what is sent is lost. */
+    /** True from a break until the link is up again; what is sent meanwhile is lost. */
     broken: boolean;
     connecting: boolean;
 }
@@ -46,18 +46,14 @@
     private readonly copies = new WeakMap<PeerMessage, PeerMessage>();
     private readonly options: Required<PeerNetworkOptions>;
 
-    /**
-     * @param base - The clock of the whole test.
-     * @param options - Speeds.
-     */
+    /** @param base - The clock of the whole test. */
     constructor(private readonly base: Clock, options: PeerNetworkOptions = {}) {
         this.options = { ...DEFAULTS, ...options };
     }
 
     /**
-     * Makes the port of one member.
-     * @param memberId - The member.
-     * @param clock - Its clock: messages are delivered through it.
+     * Creates the port of one member.
+     * @param clock - The member's clock: messages are delivered through it.
      */
     createPort(memberId: string, clock: PausableClock): PeerPort {
         const port = new FakePeerPort(memberId, clock, this);
@@ -75,7 +71,7 @@
     /** Lets the link between two members come up again. */
     healLink(left: string, right: string): void {
         this.getLink(left, right).cut = false;
-        this.connectSoon(left, right);
+        this.scheduleConnect(left, right);
     }
 
     /** Cuts one member from all others. */
@@ -108,20 +104,20 @@
         }
     }
 
-    /** Takes a member away, as the death of its process does: its links break. */
+    /** Removes a member, as the death of its process does: its links break. */
     removeMember(memberId: string): void {
         const others = this.listOthers(memberId);
         this.ports.delete(memberId);
         others.forEach(other => this.breakLink(memberId, other));
     }
 
-    /** Brings links in line with what both ends want. For ports only. */
+    /** Connects or breaks a member's links according to the peers that both ends have set; for ports only. */
     syncLinks(memberId: string): void {
         for (const other of this.listOthers(memberId)) {
             if (this.isWantedLink(memberId, other)) {
-                this.connectSoon(memberId, other);
+                this.scheduleConnect(memberId, other);
             }
-            else if (this.isUpAnywhere(memberId, other)) {
+            else if (this.isUpAtEitherEnd(memberId, other)) {
                 this.breakLink(memberId, other);
             }
         }
@@ -152,8 +148,8 @@
     }
 
     /**
-     * One message sent to several members is copied once: receivers only read it. Digests, by far the most, are built
-     * anew for each sending and not copied.
+     * A message sent to several members is copied only once, since receivers only read it. Digests, by far the
+     * most frequent messages, are built anew for each send and need no copy.
      */
     private copyMessage(message: PeerMessage): PeerMessage {
         if (message.kind === "digest") {
@@ -173,12 +169,12 @@
             if (link.generation === generation) {
                 this.setEnd(link, left, right, false);
                 this.setEnd(link, right, left, false);
-                this.connectSoon(left, right);
+                this.scheduleConnect(left, right);
             }
         });
     }
 
-    private connectSoon(left: string, right: string): void {
+    private scheduleConnect(left: string, right: string): void {
         const link = this.getLink(left, right);
         if (link.connecting) {
             return;
@@ -186,7 +182,7 @@
         link.connecting = true;
         this.base.schedule(this.options.reconnectMs, () => {
             link.connecting = false;
-            if (link.cut || !this.isWantedLink(left, right) || this.isUpAnywhere(left, right)) {
+            if (link.cut || !this.isWantedLink(left, right) || this.isUpAtEitherEnd(left, right)) {
                 return;
             }
             link.broken = false;
@@ -211,7 +207,7 @@
             (this.ports.get(right)?.hasPeer(left) ?? false);
     }
 
-    private isUpAnywhere(left: string, right: string): boolean {
+    private isUpAtEitherEnd(left: string, right: string): boolean {
         const link = this.getLink(left, right);
         return getEnd(link, left).up || getEnd(link, right).up;
     }
@@ -268,7 +264,7 @@
 function getEnd(link: Link, memberId: string): LinkEnd {
     const end = link.ends.get(memberId);
     if (end === undefined) {
-        throw new Error(`${memberId} is no end of this link`);
+        throw new Error(`${memberId} is not an end of this link`);
     }
     return end;
 }
--- a/src/test/fakes/fake-store-port.ts
+++ b/src/test/fakes/fake-store-port.ts
@@ -10,33 +10,33 @@
     StoreTransaction,
 } from "../../process/ports/index.js";
 import type { StoreModel } from "../../stand-ins/index.js";
-import type { CallEnd } from "./call-path.js";
+import type { CallResult } from "./call-path.js";
 
-/** Time that a poll may take, as a multiple of its wait: the way to a slow store and back comes on top. */
+/** Timeout of a poll as a multiple of its wait time, to leave time for the round trip to a slow store. */
 const POLL_LIMIT_FACTOR = 2;
 
-/** How calls get to the store and answers back. */
-export interface StoreWay {
+/** The network path of calls to the store and their answers. */
+export interface StorePath {
     /**
      * Makes a call.
      * @param effect - What the store does when the call arrives.
-     * @param timeout - After which the caller gives up.
-     * @param characters - Of the values that the call carries.
+     * @param timeout - Milliseconds after which the call ends as `unknown`.
+     * @param characters - Length of the values that the call carries.
      */
     request<Value>(
         effect: () => Promise<Value> | Value,
         timeout: Millis,
         characters: number,
-    ): Promise<CallEnd<Value>>;
+    ): Promise<CallResult<Value>>;
 }
 
 /** One member's access to the store. */
 export class FakeStorePort implements StorePort {
     /**
      * @param model - The store that all members share.
-     * @param path - The member's way to it, with its faults.
+     * @param path - The member's path to it, with its faults.
      */
-    constructor(private readonly model: StoreModel, readonly path: StoreWay) {}
+    constructor(private readonly model: StoreModel, readonly path: StorePath) {}
 
     read(key: string, timeout: Millis): Promise<StoreAnswer<StoreRecord | undefined>> {
         return this.request(() => this.model.read(key), timeout);
--- a/src/test/fakes/fake-task-workers.ts
+++ b/src/test/fakes/fake-task-workers.ts
@@ -1,4 +1,6 @@
-/** The task worker port over {@link TaskWorkerModel}s, with a {@link CallPath} and its faults for each worker. */
+/**
+ * The task worker port over {@link TaskWorkerModel}s, with a {@link CallPath} and its faults for each worker.
+ */
 import type { Millis } from "../../common/clock.js";
 import type {
     ReportRequest,
@@ -14,20 +16,20 @@
 
 /** One leader's access to the workers. */
 export class FakeTaskWorkers implements TaskWorkerPort {
-    /** Report requests so far. */
+    /** Number of report requests sent so far. */
     reports = 0;
     private readonly paths = new Map<string, CallPath>();
 
     /**
-     * @param findModel - Finds the life that answers at an address; undefined when nothing does.
-     * @param createPath - Makes the way to one address; called once for each.
+     * @param findModel - Finds the worker incarnation that answers at an address; undefined if there is none.
+     * @param createPath - Creates the path to an address; called once for each address.
      */
     constructor(
         private readonly findModel: (address: string) => TaskWorkerModel | undefined,
         private readonly createPath: () => CallPath,
     ) {}
 
-    /** Returns the way to a worker's address, for its faults. */
+    /** Returns the path to a worker's address, for injecting faults. */
     getPath(address: string): CallPath {
         const path = this.paths.get(address) ?? this.createPath();
         this.paths.set(address, path);
@@ -61,7 +63,7 @@
         const end = await this.getPath(worker.address).request<WorkerAnswer<Value>>(() => {
             const model = this.findModel(worker.address);
             if (model === undefined) {
-                return { kind: "notSent", message: "nothing listens" };
+                return { kind: "notSent", message: "no worker listens at this address" };
             }
             return model.workerId === worker.workerId ? effect(model) : { kind: "replaced" };
         }, timeout);
--- a/src/test/fakes/fake-telemetry.ts
+++ b/src/test/fakes/fake-telemetry.ts
@@ -1,4 +1,4 @@
-/** Log and metrics that keep what they are told, for tests. */
+/** Log and metrics that record their input, for tests. */
 import type { DecisionRecord, Log, LogValue, Metrics } from "../../process/telemetry.js";
 
 /** A line that was logged. */
@@ -9,15 +9,15 @@
     readonly fields: Readonly<Record<string, LogValue>>;
 }
 
-/** What a fake log has been told. */
+/** A {@link Log} with the lines and decisions that it has recorded. */
 export interface FakeLog extends Log {
     readonly lines: readonly LoggedLine[];
     readonly decisions: readonly DecisionRecord[];
 }
 
 /**
- * Makes a {@link Log} that keeps warnings and errors.
- * @param keepsAll - Whether decisions, debug and info lines are kept too.
+ * Makes a {@link Log} that records warnings and errors.
+ * @param keepsAll - Whether decisions, debug and info lines are recorded too.
  */
 export function createFakeLog(keepsAll = false): FakeLog {
     const lines: LoggedLine[] = [];
@@ -35,12 +35,12 @@
     };
 }
 
-/** Codes of the warnings and errors that a log was told, in order. */
+/** Returns the codes of the recorded lines, in order. */
 export function listCodes(log: FakeLog): string[] {
     return log.lines.flatMap(line => line.code ?? []);
 }
 
-/** Metrics that sum up counters and keep the last value of gauges. */
+/** Metrics that sum up counters and record the last value of each gauge. */
 export interface FakeMetrics extends Metrics {
     readonly counters: ReadonlyMap<string, number>;
     readonly gauges: ReadonlyMap<string, number>;
--- a/src/test/fakes/fake-vm-list-port.ts
+++ b/src/test/fakes/fake-vm-list-port.ts
@@ -8,7 +8,7 @@
 export class FakeVmListPort implements VmListPort {
     /**
      * @param model - The list that all members share.
-     * @param path - The member's way to it, with its faults.
+     * @param path - The member's path to it, with its faults.
      */
     constructor(private readonly model: VmListModel, readonly path: CallPath) {}
 
--- a/src/test/fakes/fake-worker-port.ts
+++ b/src/test/fakes/fake-worker-port.ts
@@ -15,7 +15,7 @@
 import type { WorkerModel } from "../../stand-ins/index.js";
 import type { CallPath } from "./call-path.js";
 
-/** Time beyond its limit that the answer to a service request may take, in milliseconds. */
+/** Milliseconds beyond its timeout within which the answer to a service request may still arrive. */
 const SERVE_GRACE_MS = 200;
 
 type Effect<Value> = (model: WorkerModel) => WorkerAnswer<Value> | Promise<WorkerAnswer<Value>>;
@@ -25,15 +25,15 @@
     private readonly paths = new Map<string, CallPath>();
 
     /**
-     * @param findModel - Finds a worker that is up; undefined when it is down.
-     * @param createPath - Makes the member's way to one worker; called once for each.
+     * @param findModel - Finds a worker; undefined if it is down.
+     * @param createPath - Creates the member's path to a worker; called once for each worker.
      */
     constructor(
         private readonly findModel: (workerId: string) => WorkerModel | undefined,
         private readonly createPath: (workerId: string) => CallPath,
     ) {}
 
-    /** Returns the way to a worker, for its faults. */
+    /** Returns the path to a worker, for injecting faults. */
     getPath(workerId: string): CallPath {
         let path = this.paths.get(workerId);
         if (path === undefined) {
@@ -86,7 +86,7 @@
         return end.kind === "answered" ? end.value : end;
     }
 
-    /** A worker that has died since the order was sent answers nothing: the caller runs into its timeout. */
+    /** A worker that has died since the order was sent does not answer, so that the call times out. */
     private runEffect<Value>(
         worker: WorkerAddress,
         effect: Effect<Value>,
--- a/src/test/fakes/fakes_test.ts
+++ b/src/test/fakes/fakes_test.ts
@@ -1,4 +1,4 @@
-/** The fakes bring about exactly the faults that they are told to. */
+/** The fakes inject exactly the faults that they are set to. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../common/random.js";
@@ -47,7 +47,7 @@
         });
     }
 
-    it("holds an answer back while its member is paused", async () => {
+    it("defers an answer while its member is paused", async () => {
         const { clock, member, port } = makeStorePort();
         let answered = false;
         void port.swap(SWAP, 10_000).then(() => {
@@ -63,7 +63,7 @@
 });
 
 describe("PausableClock", () => {
-    it("runs held timers in order after a resume, and none after a kill", async () => {
+    it("runs deferred timers in order after a resume, and none after a kill", async () => {
         const base = new FakeClock();
         const clock = new PausableClock(base);
         const ran: number[] = [];
@@ -117,7 +117,7 @@
         assert.deepEqual(right.received, [1, 2, 3]);
     });
 
-    it("loses what is under way at a cut and comes up again after a heal", async () => {
+    it("loses messages in flight at a cut and reconnects after a heal", async () => {
         const { base, network, left, right } = makePair();
         await base.step(50);
         left.port.send("right", makeMessage(1));
@@ -132,7 +132,7 @@
         assert.deepEqual([right.received, right.links], [[4], [true, false, true]]);
     });
 
-    it("never delivers around a gap without a broken link between", async () => {
+    it("reports a broken link before it delivers messages that follow lost ones", async () => {
         const { base, network, left, right } = makePair();
         await base.step(50);
         left.port.send("right", makeMessage(1));
@@ -145,7 +145,7 @@
         assert.deepEqual([right.received, right.links], [[3], [true, false, true]]);
     });
 
-    it("holds messages for a paused member", async () => {
+    it("defers messages for a paused member", async () => {
         const { base, left, right } = makePair();
         await base.step(50);
         right.clock.pause();
--- a/src/test/fakes/pausable-clock.ts
+++ b/src/test/fakes/pausable-clock.ts
@@ -1,12 +1,12 @@
-/** The clock of one member under test: pausing it pauses everything that the member would do. */
+/** The clock of one member under test; pausing it suspends all activity of the member. */
 import type { Clock, Millis, Timer } from "../../common/clock.js";
 
 /**
- * A clock whose callbacks are held back while its member is paused and run in order afterwards. Port answers and
- * peer messages are delivered through it too, so that a pause holds them back as well.
+ * A clock whose callbacks are deferred while its member is paused and run in order afterwards. Port answers and
+ * peer messages are delivered through it too, so that a pause also defers them.
  */
 export class PausableClock implements Clock {
-    private readonly held: (() => void)[] = [];
+    private readonly deferred: (() => void)[] = [];
     private paused = false;
     private killed = false;
     private draining = false;
@@ -38,36 +38,36 @@
         };
     }
 
-    /** Runs a callback of the member now, or when it is resumed; never once it is killed. */
+    /** Runs a callback of the member now, or after it is resumed; never once it is killed. */
     post(callback: () => void): void {
         if (this.killed) {
             return;
         }
         if (this.paused || this.draining) {
-            this.held.push(callback);
+            this.deferred.push(callback);
             return;
         }
         callback();
     }
 
-    /** Holds everything back, as a stopped process or a frozen VM does. */
+    /** Defers all callbacks, as a stopped process or a frozen VM does. */
     pause(): void {
         this.paused = true;
     }
 
-    /** Runs what was held back, in order, and goes on. */
+    /** Resumes the member; the deferred callbacks run first, in order. */
     resume(): void {
         this.paused = false;
-        if (!this.draining && this.held.length > 0) {
+        if (!this.draining && this.deferred.length > 0) {
             this.draining = true;
             this.base.schedule(0, () => this.drainNext());
         }
     }
 
-    /** Drops everything for good, as the death of the process does. */
+    /** Drops all deferred and future callbacks, as the death of the process does. */
     kill(): void {
         this.killed = true;
-        this.held.length = 0;
+        this.deferred.length = 0;
     }
 
     /** Tells whether the member was killed. */
@@ -80,13 +80,13 @@
         return this.paused;
     }
 
-    /** One callback for each turn, so that promise callbacks of one run before the next. */
+    /** Runs one deferred callback per timer, so that its promise callbacks run before the next one. */
     private drainNext(): void {
         if (this.paused || this.killed) {
             this.draining = false;
             return;
         }
-        const next = this.held.shift();
+        const next = this.deferred.shift();
         if (next === undefined) {
             this.draining = false;
             return;
--- a/src/test/fakes/wait-until.ts
+++ b/src/test/fakes/wait-until.ts
@@ -1,15 +1,15 @@
-/** Waiting for real sockets in tests: until something is so, never for a length of time. */
+/** Waits for a condition in tests with real sockets, in place of a fixed sleep. */
 
 const POLL_MS = 2;
-const GIVE_UP_MS = 8_000;
+const TIMEOUT_MS = 8_000;
 
 /**
  * Waits until a condition holds.
- * @param condition - Looked at every few milliseconds.
- * @param what - Named in the failure if it never holds.
+ * @param condition - Checked every few milliseconds.
+ * @param what - Description of the condition for the error if it does not hold in time.
  */
 export async function waitUntil(condition: () => boolean, what: string): Promise<void> {
-    for (let waited = 0; waited < GIVE_UP_MS; waited += POLL_MS) {
+    for (let waited = 0; waited < TIMEOUT_MS; waited += POLL_MS) {
         if (condition()) {
             return;
         }
@@ -17,5 +17,5 @@
             setTimeout(resolve, POLL_MS);
         });
     }
-    throw new Error(`never came about: ${what}`);
+    throw new Error(`condition not met in time: ${what}`);
 }
--- a/src/test/fault-runs.ts
+++ b/src/test/fault-runs.ts
@@ -1,6 +1,6 @@
 /**
- * Longer random fault runs than the tests have: `npm run fault-runs -- --seed N --runs N`.
- * A failure prints the command that repeats it.
+ * Random fault runs in larger numbers than in the tests: `npm run fault-runs -- --seed N --runs N`.
+ * A failure prints the command that replays it.
  */
 import { parseArgs } from "node:util";
 import { checkRandomRuns } from "./faults/random-runs.js";
@@ -20,7 +20,7 @@
 
 let failures = 0;
 if (values.path === undefined) {
-    // Each chunk has a seed of its own, so that a failure is repeated without the chunks before it.
+    // Each chunk has its own seed, so that a failure is replayed without the chunks before it.
     for (let done = 0; done < runs; done += CHUNK) {
         await runChunk(firstSeed + done / CHUNK, Math.min(CHUNK, runs - done));
         console.log(`${Math.min(done + CHUNK, runs)} of ${runs} runs, ${failures} chunks failed`);
@@ -38,9 +38,9 @@
     catch (error) {
         failures++;
         const text = error instanceof Error ? `${error.message}\n${describeCause(error)}` : String(error);
-        const found = /path: "([^"]+)"/.exec(text)?.[1];
+        const failurePath = /path: "([^"]+)"/.exec(text)?.[1];
         console.log(text);
-        console.log(`repeat: npm run fault-runs -- --seed ${seed} --runs 1 --path "${found ?? ""}"`);
+        console.log(`repeat: npm run fault-runs -- --seed ${seed} --runs 1 --path "${failurePath ?? ""}"`);
     }
 }
 
--- a/src/test/faults/acts.ts
+++ b/src/test/faults/actions.ts
@@ -1,35 +1,38 @@
-/** The acts of random fault runs: work that callers hand in, and faults. Each is plain data, so that runs repeat. */
+/**
+ * Actions of random fault runs: submitted work and injected faults. They are plain data, so that runs can be
+ * replayed.
+ */
 import fc from "fast-check";
 import type { Millis } from "../../common/clock.js";
 import type { Callers } from "./callers.js";
 import type { Cell } from "./cell.js";
 
-/** One act at an instant. */
-export interface Act {
-    /** Milliseconds after the act before it. */
+/** One timed action. */
+export interface Action {
+    /** Delay after the previous action, in milliseconds. */
     readonly after: Millis;
-    readonly kind: ActKind;
-    /** Which entry, worker, job or key, by number; taken modulo how many there are. */
+    readonly kind: ActionKind;
+    /** Number of the entry, worker, job or key; taken modulo their count. */
     readonly target: number;
-    /** A second number, for what the kind makes of it. */
+    /** A second parameter, whose meaning depends on the kind. */
     readonly detail: number;
-    /** How long a fault lasts. */
+    /** Duration of a fault in milliseconds; for a submitted job, the base of its run time. */
     readonly duration: Millis;
 }
 
-/** What an act is done to. */
-export interface ActScope {
+/** What an action is applied to. */
+export interface ActionScope {
     readonly cell: Cell;
     readonly callers: Callers;
 }
 
-type Handler = (scope: ActScope, act: Act) => void;
+type Handler = (scope: ActionScope, action: Action) => void;
 
-/** Half of the jobs run so much longer, past leases and the faults that are under way. */
+/** Half of the jobs run longer by this factor, so that they outlast leases and concurrent faults. */
 const LONG_RUN_FACTOR = 5;
 const JOB_KINDS = ["batch", "gang", "short"] as const;
 
-/** Work and operators' edits. */
+/** Submitted work and operators' edits. */
 const workHandlers = {
     askRepeatable: ({ cell, callers }, { target, detail }) => {
         void callers.sendRequest(cell.getMember(target), { repeatable: true, serviceMs: detail * 2 });
@@ -37,7 +40,7 @@
     askOnce: ({ cell, callers }, { target, detail }) => {
         void callers.sendRequest(cell.getMember(target), { repeatable: false, serviceMs: detail * 2 });
     },
-    /** The same key at two entries at once. */
+    /** Sends requests with the same idempotency key to two entries at once. */
     askByKey: ({ cell, callers }, { target, detail }) => {
         const options = {
             repeatable: detail % 2 === 0,
@@ -68,7 +71,7 @@
     },
 } satisfies Record<string, Handler>;
 
-/** Faults, each ending by itself. */
+/** Faults; each ends by itself, except that a killed worker may stay down and a leaving one stays leaving. */
 const faultHandlers = {
     killEntry: ({ cell }, { target, duration }) => {
         const index = target % cell.countEntries();
@@ -131,22 +134,18 @@
     },
 } satisfies Record<string, Handler>;
 
-type ActKind = keyof typeof workHandlers | keyof typeof faultHandlers;
+type ActionKind = keyof typeof workHandlers | keyof typeof faultHandlers;
 
-const handlers: Record<ActKind, Handler> = { ...workHandlers, ...faultHandlers };
+const handlers: Record<ActionKind, Handler> = { ...workHandlers, ...faultHandlers };
 
-/**
- * Does one act.
- * @param scope - The cell and its callers.
- * @param act - What to do.
- */
-export function runAct(scope: ActScope, act: Act): void {
-    handlers[act.kind](scope, act);
+/** Applies one action to a cell. */
+export function runAction(scope: ActionScope, action: Action): void {
+    handlers[action.kind](scope, action);
 }
 
 const WORK_KINDS = [
     ...Object.keys(workHandlers) as (keyof typeof workHandlers)[],
-    // Jobs are named again: their tasks outlive faults, and most guards are theirs.
+    // Submissions are weighted higher: tasks outlive faults, and most safeguards concern them.
     "submit",
     "submit",
 ] as const;
@@ -156,7 +155,11 @@
 const MAX_WORK = 24;
 const MAX_FAULTS = 5;
 
-function makeActArbitrary(kinds: readonly ActKind[], afterMs: Millis, longestMs: Millis): fc.Arbitrary<Act> {
+function makeActionArbitrary(
+    kinds: readonly ActionKind[],
+    afterMs: Millis,
+    longestMs: Millis,
+): fc.Arbitrary<Action> {
     return fc.record({
         after: fc.nat({ max: afterMs }),
         kind: fc.constantFrom(...kinds),
@@ -166,25 +169,25 @@
     });
 }
 
-/** Work and, among it, up to five faults that overlap. */
-export const actsArbitrary: fc.Arbitrary<readonly Act[]> = fc
+/** A sequence of work with up to {@link MAX_FAULTS} (5) interleaved faults, which may overlap. */
+export const actionsArbitrary: fc.Arbitrary<readonly Action[]> = fc
     .tuple(
-        fc.array(makeActArbitrary(WORK_KINDS, 700, 3_000), { minLength: 4, maxLength: MAX_WORK }),
-        fc.array(makeActArbitrary(FAULT_KINDS, 2_500, 14_000), { minLength: 2, maxLength: MAX_FAULTS }),
+        fc.array(makeActionArbitrary(WORK_KINDS, 700, 3_000), { minLength: 4, maxLength: MAX_WORK }),
+        fc.array(makeActionArbitrary(FAULT_KINDS, 2_500, 14_000), { minLength: 2, maxLength: MAX_FAULTS }),
     )
     .map(([work, faults]) => mergeByTime(work, faults));
 
-/** Puts two rows of acts into one, each act at the instant that its own row gives it. */
-function mergeByTime(left: readonly Act[], right: readonly Act[]): readonly Act[] {
-    const timed = [...listTimed(left), ...listTimed(right)].sort((one, other) => one.at - other.at);
-    return timed.map(({ at, act }, index) => ({ ...act, after: at - (timed[index - 1]?.at ?? 0) }));
+/** Merges two sequences of actions; each action keeps the instant that it has in its own sequence. */
+function mergeByTime(work: readonly Action[], faults: readonly Action[]): readonly Action[] {
+    const timed = [...listTimed(work), ...listTimed(faults)].sort((one, other) => one.at - other.at);
+    return timed.map(({ at, action }, index) => ({ ...action, after: at - (timed[index - 1]?.at ?? 0) }));
 }
 
-function listTimed(acts: readonly Act[]): { readonly at: Millis; readonly act: Act; }[] {
+function listTimed(actions: readonly Action[]): { readonly at: Millis; readonly action: Action; }[] {
     let at = 0;
-    return acts.map(act => {
-        at += act.after;
-        return { at, act };
+    return actions.map(action => {
+        at += action.after;
+        return { at, action };
     });
 }
 
--- a/src/test/faults/callers.ts
+++ b/src/test/faults/callers.ts
@@ -1,4 +1,4 @@
-/** Callers and operators of a fault run: they ask, keep what they were told, and ask again as people do. */
+/** Simulated callers and operators of a fault run: they send requests, record the replies and retry. */
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
 import type { HomeReply } from "../../connection/messages.js";
@@ -6,24 +6,24 @@
 import type { Caller, JobSpec } from "../../request/work.js";
 import type { CellMember } from "./cell-member.js";
 import { Branch, type Cell } from "./cell.js";
-import type { AcceptedEdit, AskedJob, AskedRequest } from "./evidence.js";
+import type { AcceptedEdit, SentRequest, SubmittedJob } from "./evidence.js";
 
 const CALLER: Caller = { callerId: "tester", team: "verona" };
 const REQUEST_DEADLINE_MS: Millis = 6_000;
 const SUBMIT_TIMEOUT_MS: Millis = 5_000;
-const LOOK_TIMEOUT_MS: Millis = 2_000;
-const ASK_AGAIN_MS: Millis = 1_000;
-const EDIT_TRIES = 10;
+const QUERY_TIMEOUT_MS: Millis = 2_000;
+const RETRY_INTERVAL_MS: Millis = 1_000;
+const MAX_EDIT_ATTEMPTS = 10;
 
-/** What a request is like. */
+/** Properties of a service request. */
 export interface RequestOptions {
     readonly repeatable: boolean;
-    /** Key under which it may be asked for again, at any entry. */
+    /** Idempotency key under which the request may be sent again, to any entry. */
     readonly key?: string;
     readonly serviceMs?: Millis;
 }
 
-/** What a job is like. */
+/** Properties of a job. */
 export interface JobOptions {
     readonly kind: "batch" | "gang" | "short";
     readonly tasks: number;
@@ -37,23 +37,22 @@
 
 /** All callers and operators of one run. */
 export class Callers {
-    readonly requests: AskedRequest[] = [];
-    readonly jobs: AskedJob[] = [];
+    readonly requests: SentRequest[] = [];
+    readonly jobs: SubmittedJob[] = [];
     readonly edits: AcceptedEdit[] = [];
     readonly replies: EditReply[] = [];
     private count = 0;
     private submitting = 0;
 
-    /** @param cell - The cell that they ask. */
     constructor(private readonly cell: Cell) {}
 
-    /** Sends one service request; resolves when it is answered, which may be never. */
-    async sendRequest(member: CellMember, options: RequestOptions): Promise<AskedRequest> {
+    /** Sends one service request; resolves when it is answered, which may never happen. */
+    async sendRequest(member: CellMember, options: RequestOptions): Promise<SentRequest> {
         const requestId = `r${++this.count}`;
         const workId = options.key ?? requestId;
         const now = this.cell.clock.now();
         const expected = `answer of ${workId}`;
-        const asked: AskedRequest = {
+        const sent: SentRequest = {
             requestId,
             workId,
             repeatable: options.repeatable,
@@ -63,10 +62,10 @@
             expected,
         };
         if (member.state !== "up" || !member.isUp()) {
-            return asked;
+            return sent;
         }
-        this.requests.push(asked);
-        const end = member.entry.track();
+        this.requests.push(sent);
+        const endTracking = member.entry.track();
         const result = await member.entry.callers.runService({
             requestId,
             caller: CALLER,
@@ -75,51 +74,51 @@
             contentType: "application/json",
             repeatable: options.repeatable,
             idempotencyKey: options.key,
-            deadline: asked.deadline,
+            deadline: sent.deadline,
         });
-        end();
-        asked.outcome = result.outcome;
-        asked.answeredAt = this.cell.clock.now();
-        return asked;
+        endTracking();
+        sent.outcome = result.outcome;
+        sent.answeredAt = this.cell.clock.now();
+        return sent;
     }
 
-    /** Hands a job in, asking again at other entries until it is accepted or refused for good. */
-    async submit(options: JobOptions, tries = 30): Promise<AskedJob> {
+    /** Submits a job and retries at other entries until it is accepted or the attempts are used up. */
+    async submit(options: JobOptions, maxAttempts = 30): Promise<SubmittedJob> {
         const job = this.addJob(options);
         this.submitting++;
-        for (let index = 0; index < tries && job.acceptedAt === undefined; index++) {
-            const up = this.cell.listUp();
-            const member = up[(this.count + index) % Math.max(1, up.length)];
+        for (let index = 0; index < maxAttempts && job.acceptedAt === undefined; index++) {
+            const reachable = this.cell.listUp();
+            const member = reachable[(this.count + index) % Math.max(1, reachable.length)];
             if (member !== undefined && member.state === "up") {
                 await this.submitOnce(job, member);
             }
             if (job.acceptedAt === undefined) {
-                await sleep(this.cell.clock, ASK_AGAIN_MS);
+                await sleep(this.cell.clock, RETRY_INTERVAL_MS);
             }
         }
         this.submitting--;
         return job;
     }
 
-    /** Counts jobs whose callers still try to hand them in. */
+    /** Counts jobs whose submission is still being retried. */
     countSubmitting(): number {
         return this.submitting;
     }
 
-    /** Cancels a job, asking again until an entry says that it is done. */
-    async cancel(job: AskedJob, tries = 30): Promise<void> {
-        for (let index = 0; index < tries && job.cancelledAt === undefined; index++) {
+    /** Cancels a job and retries until an entry confirms the cancellation. */
+    async cancel(job: SubmittedJob, maxAttempts = 30): Promise<void> {
+        for (let index = 0; index < maxAttempts && job.cancelledAt === undefined; index++) {
             const reply = await this.requestHome(job, "cancelJob");
             if (reply?.kind === "job") {
                 job.cancelledAt = this.cell.clock.now();
                 job.view = reply.job;
                 return;
             }
-            await sleep(this.cell.clock, ASK_AGAIN_MS);
+            await sleep(this.cell.clock, RETRY_INTERVAL_MS);
         }
     }
 
-    /** Looks at all accepted jobs that have not ended. */
+    /** Fetches the state of all accepted jobs that have not been seen to end. */
     async refresh(): Promise<void> {
         await Promise.all(
             this.listOpenJobs().map(async job => {
@@ -131,12 +130,12 @@
         );
     }
 
-    /** Returns the accepted jobs that were not yet seen ended. */
-    listOpenJobs(): readonly AskedJob[] {
+    /** Returns the accepted jobs that have not yet been seen to end. */
+    listOpenJobs(): readonly SubmittedJob[] {
         return this.jobs.filter(job => job.acceptedAt !== undefined && job.view?.state !== "ended");
     }
 
-    /** Makes an edit at an entry, repeating it under the same id while its answer says to. */
+    /** Sends an edit to an entry and repeats it under the same id while the reply leaves its outcome open. */
     async edit(
         member: CellMember,
         value: number,
@@ -154,8 +153,8 @@
             changes: [{ path, field, value }],
         };
         let reply = await member.entry.operators.editTree(edit);
-        for (let tries = 1; isUndecided(reply) && tries < EDIT_TRIES; tries++) {
-            await sleep(this.cell.clock, ASK_AGAIN_MS);
+        for (let attempts = 1; isUndecided(reply) && attempts < MAX_EDIT_ATTEMPTS; attempts++) {
+            await sleep(this.cell.clock, RETRY_INTERVAL_MS);
             reply = await member.entry.operators.editTree(edit);
         }
         this.replies.push(reply);
@@ -164,7 +163,7 @@
         }
     }
 
-    private addJob(options: JobOptions): AskedJob {
+    private addJob(options: JobOptions): SubmittedJob {
         const key = `job-${++this.count}`;
         const expected = `result of ${key}`;
         const spec: JobSpec = {
@@ -182,12 +181,12 @@
             }),
             idempotencyKey: key,
         };
-        const job: AskedJob = { spec, expected, submits: [] };
+        const job: SubmittedJob = { spec, expected, submits: [] };
         this.jobs.push(job);
         return job;
     }
 
-    private async submitOnce(job: AskedJob, member: CellMember): Promise<void> {
+    private async submitOnce(job: SubmittedJob, member: CellMember): Promise<void> {
         const { callers } = member.entry;
         job.jobId = callers.makeJobId(CALLER, job.spec);
         const position = job.submits.push(undefined) - 1;
@@ -203,19 +202,22 @@
         }
     }
 
-    private async requestHome(job: AskedJob, kind: "showJob" | "cancelJob"): Promise<HomeReply | undefined> {
-        const up = this.cell.listUp().filter(member => member.state === "up");
-        const member = up[this.count++ % Math.max(1, up.length)];
+    private async requestHome(
+        job: SubmittedJob,
+        kind: "showJob" | "cancelJob",
+    ): Promise<HomeReply | undefined> {
+        const reachable = this.cell.listUp().filter(member => member.state === "up");
+        const member = reachable[this.count++ % Math.max(1, reachable.length)];
         const { jobId } = job;
         if (member === undefined || jobId === undefined) {
             return undefined;
         }
         const request = { kind, jobId, team: CALLER.team } as const;
-        const asking = member.entry.callers.callHome(jobId, request, LOOK_TIMEOUT_MS);
-        return this.waitFor(asking, LOOK_TIMEOUT_MS * 2);
+        const reply = member.entry.callers.callHome(jobId, request, QUERY_TIMEOUT_MS);
+        return this.waitFor(reply, QUERY_TIMEOUT_MS * 2);
     }
 
-    /** The answer, or undefined when the entry died or is paused: a caller's connection breaks then. */
+    /** Resolves to the answer, or to undefined once the limit passes because the entry died or is paused. */
     private waitFor<Value>(answer: Promise<Value>, limit: Millis): Promise<Value | undefined> {
         return Promise.race([answer, sleep(this.cell.clock, limit).then(() => undefined)]);
     }
--- a/src/test/faults/cell-member.ts
+++ b/src/test/faults/cell-member.ts
@@ -1,4 +1,6 @@
-/** One life of an entry in a fault run: the entry over fakes, on a clock that can be paused or killed. */
+/**
+ * One incarnation of an entry in a fault run: a real entry over fakes, on a clock that can be paused or killed.
+ */
 import type { Clock } from "../../common/clock.js";
 import { createRandom } from "../../common/random.js";
 import type { Entry } from "../../process/entry.js";
@@ -14,8 +16,8 @@
 import { FakeWorkerPort } from "../fakes/fake-worker-port.js";
 import { PausableClock } from "../fakes/pausable-clock.js";
 
-/** What all members share. */
-export interface CellParts {
+/** The fakes that all members share. */
+export interface CellEnvironment {
     readonly base: Clock;
     readonly store: StoreModel;
     readonly vmList: VmListModel;
@@ -23,13 +25,13 @@
     findWorker(workerId: string): WorkerModel | undefined;
 }
 
-/** Which entry a life belongs to. */
-export interface MemberPlace {
+/** Identity of an incarnation. */
+export interface EntryIdentity {
     readonly self: Member;
-    /** Number of the entry, the same over all its lives. */
+    /** Number of the entry, the same for all its incarnations. */
     readonly index: number;
     readonly seed: number;
-    /** Whether the log keeps decisions and information, for a person who looks into a run. */
+    /** Whether the log also keeps decisions, debug and info lines, for the analysis of a run. */
     readonly verbose: boolean;
 }
 
@@ -37,7 +39,7 @@
 const STORE_LATENCY_MS = 2;
 const WORKER_LATENCY_MS = 1;
 
-/** One life of an entry. */
+/** One incarnation of an entry. */
 export class CellMember {
     readonly memberId: string;
     readonly clock: PausableClock;
@@ -49,47 +51,46 @@
     /** `up`, `leaving` until it has left, then `gone`. */
     state: "up" | "leaving" | "gone" = "up";
 
-    /**
-     * @param parts - What all members share.
-     * @param place - Which entry it is.
-     */
-    constructor(private readonly parts: CellParts, readonly place: MemberPlace) {
-        this.memberId = place.self.memberId;
-        this.clock = new PausableClock(parts.base);
-        const random = createRandom(place.seed);
+    constructor(private readonly environment: CellEnvironment, readonly identity: EntryIdentity) {
+        this.memberId = identity.self.memberId;
+        this.clock = new PausableClock(environment.base);
+        const random = createRandom(identity.seed);
         const createPath = (latencyMs: number): CallPath =>
-            new CallPath(parts.base, this.clock, { latencyMs, random: createRandom(place.seed + 1) });
+            new CallPath(environment.base, this.clock, {
+                latencyMs,
+                random: createRandom(identity.seed + 1),
+            });
         this.storePath = createPath(STORE_LATENCY_MS);
         this.vmListPath = createPath(STORE_LATENCY_MS);
         this.workers = new FakeWorkerPort(
-            workerId => parts.findWorker(workerId),
+            workerId => environment.findWorker(workerId),
             () => createPath(WORKER_LATENCY_MS),
         );
-        this.log = createFakeLog(place.verbose);
+        this.log = createFakeLog(identity.verbose);
         this.entry = createEntry({
-            self: place.self,
+            self: identity.self,
             clock: this.clock,
             random,
             log: this.log,
             metrics: createFakeMetrics(),
-            store: new FakeStorePort(parts.store, this.storePath),
-            peers: parts.network.createPort(place.self.memberId, this.clock),
+            store: new FakeStorePort(environment.store, this.storePath),
+            peers: environment.network.createPort(identity.self.memberId, this.clock),
             workers: this.workers,
-            vmList: new FakeVmListPort(parts.vmList, this.vmListPath),
+            vmList: new FakeVmListPort(environment.vmList, this.vmListPath),
             shutdownMs: SHUTDOWN_MS,
         });
         this.entry.start();
     }
 
-    /** Whether callers reach it. */
+    /** Tells whether callers can reach it. */
     isUp(): boolean {
         return this.state !== "gone" && !this.clock.isPaused();
     }
 
-    /** Dies without a warning: nothing of it runs any more, what it sent arrives. */
+    /** Crashes the member: none of its callbacks run any more, but what it has already sent still arrives. */
     kill(): void {
         this.state = "gone";
         this.clock.kill();
-        this.parts.network.removeMember(this.memberId);
+        this.environment.network.removeMember(this.memberId);
     }
 }
