--- a/src/test/faults/cell.ts
+++ b/src/test/faults/cell.ts
@@ -1,6 +1,6 @@
 /**
- * Entries over fakes of the platform, on one fake clock. Not a simulator of a cluster: the entries are the real
- * ones, and everything else is a stand-in model behind a port.
+ * A cell for fault runs on one fake clock. The entries are the real ones; the store, VM list, workers and links
+ * are models behind the ports.
  */
 import type { Millis } from "../../common/clock.js";
 import type { Resources } from "../../common/resources.js";
@@ -18,15 +18,15 @@
 import { CellMember } from "./cell-member.js";
 import type { Evidence, LeavingSignal, MemberOutage, SettingsSample, ShutdownRecord } from "./evidence.js";
 
-/** Size and kind of a cell. */
+/** Size and settings of a cell. */
 export interface CellOptions {
     readonly seed: number;
     readonly entries: number;
     readonly workers: number;
-    /** Workers of each two that compare epochs; the others know leases only. */
+    /** Whether the workers compare epochs; otherwise they know leases only. */
     readonly comparesEpochs: boolean;
     readonly verbose?: boolean;
-    /** Settings of the cell that differ from the short leases of most runs. */
+    /** Overrides of the cell's settings, which have short leases by default. */
     readonly cell?: Partial<CellSettings>;
 }
 
@@ -38,7 +38,7 @@
     short: "short/nozzle",
 } as const;
 
-/** Size of each worker. */
+/** Capacity of each worker. */
 export const WORKER_CAPACITY: Resources = { cpuMillis: 4_000, memoryMib: 8_192, accelerators: 1 };
 const WORKER_SLOTS = 3;
 const WORKERS_PER_RACK = 2;
@@ -47,10 +47,10 @@
 const FIRST_PEER_PORT = 7_000;
 const FIRST_HTTP_PORT = 8_000;
 const SAMPLE_MS: Millis = 250;
-/** Time within which a new cell must take work. */
+/** Time within which a new cell must accept work. */
 const START_LIMIT_MS: Millis = 60_000;
 
-/** Short leases, so that runs need not be long. */
+/** Settings tree with short leases, so that runs stay short. */
 const ROOT = {
     cell: {
         workerLeaseMs: 6_000,
@@ -89,10 +89,9 @@
     readonly shutdowns: ShutdownRecord[] = [];
     readonly outages: MemberOutage[] = [];
     private readonly workers = new Map<string, WorkerSlot>();
-    private readonly lives: CellMember[] = [];
-    private readonly places: CellMember[] = [];
+    private readonly incarnations: CellMember[] = [];
+    private readonly currentMembers: CellMember[] = [];
 
-    /** @param options - Size and kind. */
     constructor(private readonly options: CellOptions) {
         const cell = { ...ROOT.cell, ...options.cell };
         const tree = encodeTree({
@@ -112,20 +111,20 @@
         this.scheduleSample();
     }
 
-    /** Waits until every entry takes work and every slice has a ready owner. */
+    /** Waits until every entry accepts work and every slice has a ready owner. */
     async open(): Promise<void> {
         const limit = this.clock.now() + START_LIMIT_MS;
         while (!this.isOpen()) {
             if (this.clock.now() > limit) {
-                throw new Error("the cell took no work within the limit");
+                throw new Error("the cell was not ready for work within the start limit");
             }
             await this.clock.step(250);
         }
     }
 
-    /** Starts a new life of an entry. */
+    /** Starts a new incarnation of an entry. */
     startEntry(index: number): CellMember {
-        const life = this.lives.length;
+        const incarnation = this.incarnations.length;
         const member = new CellMember({
             base: this.clock,
             store: this.store,
@@ -133,19 +132,19 @@
             network: this.network,
             findWorker: workerId => this.findWorker(workerId),
         }, {
-            self: buildMember(index, life),
+            self: buildMember(index, incarnation),
             index,
-            seed: this.options.seed * 1_000 + life * 2,
+            seed: this.options.seed * 1_000 + incarnation * 2,
             verbose: this.options.verbose ?? false,
         });
-        this.lives.push(member);
-        this.places[index] = member;
+        this.incarnations.push(member);
+        this.currentMembers[index] = member;
         return member;
     }
 
-    /** Returns the latest life of an entry. */
+    /** Returns the latest incarnation of an entry. */
     getMember(index: number): CellMember {
-        const member = this.places[index % this.places.length];
+        const member = this.currentMembers[index % this.currentMembers.length];
         if (member === undefined) {
             throw new Error(`no entry ${index}`);
         }
@@ -157,14 +156,14 @@
         return this.options.entries;
     }
 
-    /** Starts an entry again if its last life is over. */
+    /** Starts an entry again if its latest incarnation has ended. */
     ensureEntry(index: number): void {
         if (this.getMember(index).state === "gone") {
             this.startEntry(index);
         }
     }
 
-    /** Sets faults on the ways from an entry to all workers, for a time. */
+    /** Sets faults on the paths from an entry to all workers, for a time. */
     setWorkerFaults(member: CellMember, faults: Partial<PathFaults>, duration: Millis): void {
         const none = Object.fromEntries(Object.keys(faults).map(name => [name, 0]));
         const paths = this.listWorkerIds().map(workerId => member.workers.getPath(workerId));
@@ -172,14 +171,14 @@
         this.clock.schedule(duration, () => paths.forEach(path => Object.assign(path.faults, none)));
     }
 
-    /** Returns all lives, the ended ones included. */
-    listLives(): readonly CellMember[] {
-        return this.lives;
+    /** Returns all incarnations, including those that have ended. */
+    listIncarnations(): readonly CellMember[] {
+        return this.incarnations;
     }
 
     /** Returns the members that callers can reach. */
     listUp(): readonly CellMember[] {
-        return this.places.filter(member => member.isUp());
+        return this.currentMembers.filter(member => member.isUp());
     }
 
     /** Kills an entry; its callers' connections break. */
@@ -200,7 +199,7 @@
         this.clock.schedule(duration, () => member.clock.resume());
     }
 
-    /** Asks an entry to leave in order. */
+    /** Shuts an entry down gracefully; `undisturbed` records that no other fault may strike meanwhile. */
     async leaveEntry(index: number, undisturbed: boolean): Promise<void> {
         const member = this.getMember(index);
         if (member.state !== "up") {
@@ -210,7 +209,7 @@
         this.shutdowns.push({ memberId: member.memberId, at: this.clock.now(), undisturbed });
         await member.entry.leave();
         member.state = "gone";
-        // Its process exits: nothing may depend on what runs there later.
+        // The process exits here, so nothing may depend on callbacks that would run later.
         member.kill();
     }
 
@@ -222,14 +221,14 @@
         });
     }
 
-    /** Takes the store away from all entries for a time. */
+    /** Makes the store unreachable for all current entries for a time. */
     stopStore(duration: Millis): void {
-        this.places.forEach(member => this.cutStore(member, duration));
+        this.currentMembers.forEach(member => this.cutStore(member, duration));
     }
 
     /** Cuts the links between the first entries and the rest for a time. */
     splitEntries(count: number, duration: Millis): void {
-        const half = this.places.slice(0, count).map(member => member.memberId);
+        const half = this.currentMembers.slice(0, count).map(member => member.memberId);
         this.network.splitHalves(half);
         this.clock.schedule(duration, () => this.network.healAll());
     }
@@ -243,12 +242,14 @@
         });
     }
 
-    /** Cuts all entries from a worker, whose tasks go on, for a time. */
+    /** Cuts all entries from a worker for a time; its tasks continue to run. */
     cutWorkerFromAll(workerId: string, duration: Millis): void {
-        this.places.forEach(member => this.cutWorker(member, workerId, duration));
+        this.currentMembers.forEach(member => this.cutWorker(member, workerId, duration));
     }
 
-    /** Kills a worker with all that runs on it; with a duration it boots again after it. */
+    /**
+     * Kills a worker and everything that runs on it; if a duration is given, it boots again after that time.
+     */
     killWorker(workerId: string, duration?: Millis): void {
         const slot = this.getWorker(workerId);
         if (!slot.up) {
@@ -264,16 +265,16 @@
         }
     }
 
-    /** Says in the VM list that a worker leaves; the worker itself says so after a while, or not at all. */
-    leaveWorker(workerId: string, saysSoAfter?: Millis): void {
+    /** Marks a worker as leaving in the VM list; the worker itself reports it after `reportDelay`, or never. */
+    leaveWorker(workerId: string, reportDelay?: Millis): void {
         this.vmList.setState(workerId, "leaving");
         this.leaving.push({ workerId, at: this.clock.now() + this.vmList.lagMs });
-        if (saysSoAfter !== undefined) {
-            this.clock.schedule(saysSoAfter, () => this.getWorker(workerId).model.setLeaving(true));
+        if (reportDelay !== undefined) {
+            this.clock.schedule(reportDelay, () => this.getWorker(workerId).model.setLeaving(true));
         }
     }
 
-    /** Returns the model of a worker, up or not. */
+    /** Returns the model of a worker, whether or not it is up. */
     getWorkerModel(workerId: string): WorkerModel {
         return this.getWorker(workerId).model;
     }
@@ -283,7 +284,7 @@
         return [...this.workers.keys()];
     }
 
-    /** Gathers what the checker needs beside what callers know. */
+    /** Collects the checker's evidence except for what the callers recorded. */
     collectEvidence(): Omit<Evidence, "requests" | "jobs" | "edits"> {
         return {
             runs: this.journal.runs,
@@ -296,21 +297,21 @@
         };
     }
 
-    /** Whether every entry is ready and every slice is served by an owner that is up. */
+    /** Tells whether every entry is ready and every slice is served by an owner that is up. */
     isOpen(): boolean {
-        const up = this.listUp();
-        const [first] = up;
-        if (first === undefined || !up.every(member => member.entry.isReady())) {
+        const reachable = this.listUp();
+        const [first] = reachable;
+        if (first === undefined || !reachable.every(member => member.entry.isReady())) {
             return false;
         }
-        const ids = new Set(up.map(member => member.memberId));
+        const ids = new Set(reachable.map(member => member.memberId));
         const { workerSlices, homeSlices, members } = first.entry.operators.getStatus();
         const owned = [...workerSlices, ...homeSlices].every(({ owner }) =>
             owner !== undefined && ids.has(owner)
         );
-        const served = up.reduce((sum, member) => sum + countReady(member), 0);
-        const open = up.reduce((sum, member) => sum + countOpenWorkers(member), 0);
-        return owned && served === homeSlices.length && members.length === up.length &&
+        const served = reachable.reduce((sum, member) => sum + countReadySlices(member), 0);
+        const open = reachable.reduce((sum, member) => sum + countOpenWorkers(member), 0);
+        return owned && served === homeSlices.length && members.length === reachable.length &&
             open >= this.options.workers;
     }
 
@@ -350,7 +351,10 @@
         this.vmList.put(vm);
     }
 
-    /** A table in which the first lives own their even shares: without it, minutes of planned moves come first. */
+    /**
+     * Builds a table in which the first incarnations own equal shares; without it, a run would begin with
+     * minutes of planned moves.
+     */
     private buildTable(): string {
         const members = Array.from(
             { length: this.options.entries },
@@ -366,8 +370,14 @@
             for (const member of this.listUp()) {
                 const version = member.entry.operators.readTree()?.version;
                 if (version !== undefined) {
-                    const acts = member.state === "up" && member.entry.callers.findRefusal() === undefined;
-                    this.samples.push({ memberId: member.memberId, at: this.clock.now(), version, acts });
+                    const acceptsWork = member.state === "up" &&
+                        member.entry.callers.findRefusal() === undefined;
+                    this.samples.push({
+                        memberId: member.memberId,
+                        at: this.clock.now(),
+                        version,
+                        acceptsWork,
+                    });
                 }
             }
             this.scheduleSample();
@@ -375,9 +385,9 @@
     }
 }
 
-function buildMember(index: number, life: number): Member {
+function buildMember(index: number, incarnation: number): Member {
     return {
-        memberId: `e${index}-${life}`,
+        memberId: `e${index}-${incarnation}`,
         host: "127.0.0.1",
         peerPort: FIRST_PEER_PORT + index,
         httpUrl: `http://127.0.0.1:${FIRST_HTTP_PORT + index}`,
@@ -385,7 +395,7 @@
     };
 }
 
-function countReady(member: CellMember): number {
+function countReadySlices(member: CellMember): number {
     return member.entry.operators.getStatus().home.slices.filter(slice => slice.ready).length;
 }
 
--- a/src/test/faults/checker.ts
+++ b/src/test/faults/checker.ts
@@ -1,11 +1,11 @@
-/** Checks the evidence of a run against the promises of the brief. */
+/** Checks the evidence of a run against the guarantees given to callers and operators. */
 import type { Millis } from "../../common/clock.js";
 import { addResources, isWithin, NO_RESOURCES } from "../../common/resources.js";
 import type { JournalRun } from "../../stand-ins/index.js";
-import type { AskedJob, AskedRequest, Evidence } from "./evidence.js";
+import type { Evidence, SentRequest, SubmittedJob } from "./evidence.js";
 
-/** The promises, in the order of the brief. */
-export const PromiseName = {
+/** Names of the guarantees, in the order in which they are checked. */
+export const GuaranteeName = {
     capacity: "capacity",
     onePlace: "onePlace",
     wholeAnswer: "wholeAnswer",
@@ -15,22 +15,22 @@
     gracefulShutdown: "gracefulShutdown",
     settings: "settings",
 } as const;
-export type PromiseName = (typeof PromiseName)[keyof typeof PromiseName];
+export type GuaranteeName = (typeof GuaranteeName)[keyof typeof GuaranteeName];
 
-/** A promise that was broken. */
+/** A guarantee that was violated, and how. */
 export interface Violation {
-    readonly promise: PromiseName;
+    readonly guarantee: GuaranteeName;
     readonly message: string;
 }
 
-/** Time from the first sign that a worker leaves until it must get nothing new. */
+/** Time from the first visible signal that a worker leaves until it must get no new work. */
 export const LEAVING_LIMIT_MS = 2_000;
-/** Time from the acceptance of an edit until it must be in force everywhere. */
+/** Time from the acceptance of an edit until no entry may accept work under older settings. */
 export const IN_FORCE_LIMIT_MS = 4_000;
-/** Time beyond its deadline that the answer to a request may take on its way. */
+/** Time after its deadline within which the answer to a request may still arrive. */
 const ANSWER_GRACE_MS = 1_500;
 
-const checks: Record<PromiseName, (evidence: Evidence) => string[]> = {
+const checks: Record<GuaranteeName, (evidence: Evidence) => string[]> = {
     capacity: checkCapacity,
     onePlace: checkOnePlace,
     wholeAnswer: checkWholeAnswer,
@@ -42,42 +42,47 @@
 };
 
 /**
- * Checks all promises.
- * @param evidence - What a run left behind.
- * @returns What was broken; empty if nothing was.
+ * Checks all guarantees.
+ * @returns The violations; empty if every guarantee was kept.
  */
-export function checkPromises(evidence: Evidence): Violation[] {
-    return Object.values(PromiseName).flatMap(promise =>
-        checks[promise](evidence).map(message => ({ promise, message }))
+export function checkGuarantees(evidence: Evidence): Violation[] {
+    return Object.values(GuaranteeName).flatMap(guarantee =>
+        checks[guarantee](evidence).map(message => ({ guarantee, message }))
     );
 }
 
-/** Sweeps each worker's starts and ends in order; an end at the instant of a start comes first. */
+/** Checks the use of each worker at every start; a run that ends at that instant no longer counts. */
 function checkCapacity(evidence: Evidence): string[] {
-    const faults: string[] = [];
+    const messages: string[] = [];
     for (const [workerId, runs] of collectGroups(evidence.runs, run => run.workerId)) {
         const capacity = evidence.capacities.find(each => each.workerId === workerId);
         if (capacity === undefined) {
-            faults.push(`worker ${workerId} ran something but was never set up`);
+            messages.push(`worker ${workerId} ran something, but its capacity was never recorded`);
             continue;
         }
         for (const started of runs) {
-            const together = runs.filter(run => isRunningAt(run, started));
-            const use = together.reduce((sum, run) => addResources(sum, run.resources), NO_RESOURCES);
-            const requests = together.filter(run => run.kind === "service").length;
+            const concurrent = runs.filter(run => isRunningAt(run, started));
+            const use = concurrent.reduce((sum, run) => addResources(sum, run.resources), NO_RESOURCES);
+            const requests = concurrent.filter(run => run.kind === "service").length;
             if (!isWithin(use, capacity.capacity)) {
-                faults.push(`worker ${workerId} at ${started.startedAt}: ${JSON.stringify(use)} handed out`);
+                messages.push(
+                    `worker ${workerId} at ${started.startedAt}: ${
+                        JSON.stringify(use)
+                    } in use, over its capacity`,
+                );
             }
             if (requests > capacity.slots) {
-                faults.push(`worker ${workerId} at ${started.startedAt}: ${requests} requests at once`);
+                messages.push(
+                    `worker ${workerId} at ${started.startedAt}: ${requests} concurrent requests, over its slots`,
+                );
             }
         }
     }
-    return faults;
+    return messages;
 }
 
 function checkOnePlace(evidence: Evidence): string[] {
-    const faults: string[] = [];
+    const messages: string[] = [];
     for (const [workId, runs] of collectGroups(evidence.runs, run => getWorkId(evidence, run))) {
         const sorted = [...runs].sort((left, right) => left.startedAt - right.startedAt);
         sorted.forEach((run, index) => {
@@ -85,11 +90,11 @@
                 (earlier.endedAt ?? evidence.endedAt + 1) > run.startedAt
             );
             if (other !== undefined) {
-                faults.push(`${workId} runs on ${other.workerId} and ${run.workerId} at ${run.startedAt}`);
+                messages.push(`${workId} runs on ${other.workerId} and ${run.workerId} at ${run.startedAt}`);
             }
         });
     }
-    return faults;
+    return messages;
 }
 
 function checkWholeAnswer(evidence: Evidence): string[] {
@@ -99,38 +104,38 @@
     ];
 }
 
-function checkAnswer(evidence: Evidence, request: AskedRequest): string[] {
+function checkAnswer(evidence: Evidence, request: SentRequest): string[] {
     const { requestId, outcome, expected } = request;
     if (outcome === undefined) {
         const ended = request.deadline + ANSWER_GRACE_MS < evidence.endedAt;
-        const excused = hasOutage(
+        const hadOutage = hasOutage(
             evidence,
             request.memberId,
             request.sentAt,
             request.deadline + ANSWER_GRACE_MS,
         );
-        return ended && !excused ? [`request ${requestId} was never answered`] : [];
+        return ended && !hadOutage ? [`request ${requestId} was never answered`] : [];
     }
-    const faults: string[] = [];
+    const messages: string[] = [];
     const answeredAt = request.answeredAt ?? evidence.endedAt;
     const late = answeredAt > request.deadline + ANSWER_GRACE_MS;
     if (late && !hasOutage(evidence, request.memberId, request.sentAt, answeredAt)) {
-        faults.push(
+        messages.push(
             `request ${requestId} was answered ${answeredAt - request.deadline} ms after its deadline`,
         );
     }
     if (outcome.kind === "done" && Buffer.from(outcome.answer).toString() !== expected) {
-        faults.push(
+        messages.push(
             `request ${requestId} got "${Buffer.from(outcome.answer).toString()}", not "${expected}"`,
         );
     }
     if (outcome.kind === "done" && !hasRun(evidence, request.workId, run => run.end === "answered")) {
-        faults.push(`request ${requestId} is said to be done and never ran to its end`);
+        messages.push(`request ${requestId} was reported done, but no run of it ended with an answer`);
     }
-    return faults;
+    return messages;
 }
 
-function checkJobAnswers(evidence: Evidence, job: AskedJob): string[] {
+function checkJobAnswers(evidence: Evidence, job: SubmittedJob): string[] {
     const { view, jobId = "without id" } = job;
     if (job.acceptedAt === undefined) {
         return [];
@@ -138,10 +143,10 @@
     if (view?.state !== "ended") {
         return [`job ${jobId} was accepted and has not ended (${JSON.stringify(view?.counts)})`];
     }
-    const faults: string[] = [];
+    const messages: string[] = [];
     const sum = Object.values(view.counts).reduce((total, count) => total + count, 0);
     if (sum !== job.spec.tasks) {
-        faults.push(`job ${jobId} has ${job.spec.tasks} tasks and tells of ${sum}`);
+        messages.push(`job ${jobId} has ${job.spec.tasks} tasks, but its counts sum up to ${sum}`);
     }
     for (const { index, outcome } of view.tasks) {
         if (outcome?.kind !== "done") {
@@ -149,21 +154,21 @@
         }
         const answer = Buffer.from(outcome.answer).toString();
         if (answer !== job.expected) {
-            faults.push(`task ${index} of job ${jobId} got "${answer}", not "${job.expected}"`);
+            messages.push(`task ${index} of job ${jobId} got "${answer}", not "${job.expected}"`);
         }
         if (!hasRun(evidence, getTaskId(jobId, index), run => run.end === "done")) {
-            faults.push(`task ${index} of job ${jobId} is said to be done and never ran to its end`);
+            messages.push(`task ${index} of job ${jobId} was reported done, but no run of it ended as done`);
         }
     }
-    return faults;
+    return messages;
 }
 
 function checkTrueNotRun(evidence: Evidence): string[] {
-    const faults: string[] = [];
-    for (const [workId, asks] of collectGroups(evidence.requests, request => request.workId)) {
-        const allNotRun = asks.every(ask => isNotRun(ask.outcome));
+    const messages: string[] = [];
+    for (const [workId, requests] of collectGroups(evidence.requests, request => request.workId)) {
+        const allNotRun = requests.every(request => isNotRun(request.outcome));
         if (allNotRun && hasRun(evidence, workId)) {
-            faults.push(`request ${workId} is said not to have run and did`);
+            messages.push(`request ${workId} was reported as not run, but it ran`);
         }
     }
     for (const job of evidence.jobs) {
@@ -173,32 +178,34 @@
         }
         const refused = job.submits.every(reply => reply?.kind === "refused");
         if (refused && evidence.runs.some(run => getWorkId(evidence, run).startsWith(`${jobId}#`))) {
-            faults.push(`job ${jobId} is said not to have been accepted and ran`);
+            messages.push(`job ${jobId} was refused, but it ran`);
         }
         for (const { index, outcome } of job.view?.tasks ?? []) {
             if (isNotRun(outcome) && hasRun(evidence, getTaskId(jobId, index))) {
-                faults.push(`task ${index} of job ${jobId} is said not to have run and did`);
+                messages.push(`task ${index} of job ${jobId} was reported as not run, but it ran`);
             }
         }
     }
-    return faults;
+    return messages;
 }
 
 function checkAtMostOnce(evidence: Evidence): string[] {
-    const once = new Map<string, boolean>();
+    const mustRunOnce = new Map<string, boolean>();
     for (const request of evidence.requests) {
-        once.set(request.workId, (once.get(request.workId) ?? false) || !request.repeatable);
+        mustRunOnce.set(request.workId, (mustRunOnce.get(request.workId) ?? false) || !request.repeatable);
     }
-    const onceJobs = new Set(evidence.jobs.filter(job => !job.spec.repeatable).map(job => job.jobId));
-    const faults: string[] = [];
+    const nonRepeatableJobIds = new Set(
+        evidence.jobs.filter(job => !job.spec.repeatable).map(job => job.jobId),
+    );
+    const messages: string[] = [];
     for (const [workId, runs] of collectGroups(evidence.runs, run => getWorkId(evidence, run))) {
-        const isOnce = once.get(workId) ?? onceJobs.has(workId.split("#")[0]);
+        const isOnce = mustRunOnce.get(workId) ?? nonRepeatableJobIds.has(workId.split("#")[0]);
         if (isOnce && runs.length > 1) {
             const places = runs.map(run => `${run.workerId} at ${run.startedAt}`).join(", ");
-            faults.push(`${workId} must not be repeated and ran ${runs.length} times: ${places}`);
+            messages.push(`${workId} must not be repeated and ran ${runs.length} times: ${places}`);
         }
     }
-    return faults;
+    return messages;
 }
 
 function checkLeavingWorker(evidence: Evidence): string[] {
@@ -206,7 +213,9 @@
         evidence.runs
             .filter(run => run.workerId === workerId)
             .filter(run => run.startedAt > at + LEAVING_LIMIT_MS && run.startedAt < (until ?? Infinity))
-            .map(run => `worker ${workerId} leaves since ${at} and got ${run.attempt} at ${run.startedAt}`)
+            .map(run =>
+                `worker ${workerId} is leaving since ${at} but got ${run.attempt} at ${run.startedAt}`
+            )
     );
 }
 
@@ -217,7 +226,8 @@
             .filter(request => (request.answeredAt ?? Infinity) > at)
             .filter(request =>
                 request.outcome === undefined ?
-                    // One that dies or freezes while it leaves cuts requests off by that, not by leaving.
+                    // A member that dies or freezes while it leaves cuts requests off by that fault, not by its
+                    // shutdown.
                     !hasOutage(evidence, memberId, at, request.deadline + ANSWER_GRACE_MS) :
                     undisturbed && isCutOff(request)
             )
@@ -226,35 +236,35 @@
 }
 
 function checkSettings(evidence: Evidence): string[] {
-    const faults: string[] = [];
+    const messages: string[] = [];
     for (const [memberId, samples] of collectGroups(evidence.samples, sample => sample.memberId)) {
         samples.slice(1).forEach((sample, index) => {
             const before = samples[index]?.version ?? 0;
             if (sample.version < before) {
-                faults.push(`member ${memberId} went back from version ${before} to ${sample.version}`);
+                messages.push(`member ${memberId} went back from version ${before} to ${sample.version}`);
             }
         });
     }
     for (const { version, acceptedAt } of evidence.edits) {
         const late = evidence.samples.find(sample =>
-            sample.acts && sample.version < version && sample.at > acceptedAt + IN_FORCE_LIMIT_MS
+            sample.acceptsWork && sample.version < version && sample.at > acceptedAt + IN_FORCE_LIMIT_MS
         );
         if (late !== undefined) {
-            faults.push(
-                `${late.memberId} acts on version ${late.version} at ${late.at}; ` +
+            messages.push(
+                `${late.memberId} accepts work under version ${late.version} at ${late.at}; ` +
                     `${version} was accepted at ${acceptedAt}`,
             );
         }
     }
-    return faults;
+    return messages;
 }
 
-/** Whether the outcome says that the work has not run. */
-function isNotRun(outcome: AskedRequest["outcome"]): boolean {
+/** Tells whether the outcome says that the work has not run. */
+function isNotRun(outcome: SentRequest["outcome"]): boolean {
     return outcome?.kind === "notRun" || (outcome?.kind === "cancelled" && !outcome.started);
 }
 
-function isCutOff({ outcome }: AskedRequest): boolean {
+function isCutOff({ outcome }: SentRequest): boolean {
     return outcome?.kind === "mayHaveRun" ||
         (outcome?.kind === "notRun" && ["linkDown", "notOwner", "shuttingDown"].includes(outcome.reason));
 }
@@ -278,7 +288,7 @@
         (run.startedAt <= started.startedAt && (run.endedAt ?? Infinity) > started.startedAt);
 }
 
-/** The work that a run belongs to, whatever the try. */
+/** Returns the id of the work that a run belongs to; all attempts of the same work have the same id. */
 function getWorkId(evidence: Evidence, run: JournalRun): string {
     if (run.kind === "service") {
         return evidence.requests.find(request => request.requestId === run.attempt)?.workId ?? run.attempt;
--- a/src/test/faults/checker_test.ts
+++ b/src/test/faults/checker_test.ts
@@ -1,12 +1,12 @@
-/** The checker catches each broken promise in a hand-made journal, and nothing in a good one. */
+/** The checker reports each violated guarantee in hand-made evidence, and nothing where all were kept. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Outcome } from "../../common/outcome.js";
 import { NO_RESOURCES } from "../../common/resources.js";
 import type { JobSpec, JobView } from "../../request/work.js";
 import type { JournalRun } from "../../stand-ins/index.js";
-import { checkPromises, PromiseName } from "./checker.js";
-import type { AskedJob, AskedRequest, Evidence } from "./evidence.js";
+import { checkGuarantees, GuaranteeName } from "./checker.js";
+import type { Evidence, SentRequest, SubmittedJob } from "./evidence.js";
 
 const SIZE = { cpuMillis: 1_000, memoryMib: 1_000, accelerators: 0 };
 const DONE: Outcome = {
@@ -50,7 +50,7 @@
     };
 }
 
-function makeRequest(change: Partial<AskedRequest> = {}): AskedRequest {
+function makeRequest(change: Partial<SentRequest> = {}): SentRequest {
     return {
         requestId: "r1",
         workId: "r1",
@@ -65,7 +65,7 @@
     };
 }
 
-function makeJob(outcome: Outcome, change: Partial<AskedJob> = {}): AskedJob {
+function makeJob(outcome: Outcome, change: Partial<SubmittedJob> = {}): SubmittedJob {
     const counts = { waiting: 0, running: 0, done: 0, failed: 0, notRun: 0, mayHaveRun: 0, cancelled: 0 };
     const view: JobView = {
         jobId: "j1",
@@ -117,14 +117,14 @@
     submits: [{ kind: "refused", outcome: NOT_RUN }],
 });
 const otherLabel = JSON.stringify({ jobId: "j2", index: 0 });
-const sample = { memberId: "m1", at: 9_000, version: 3, acts: true };
+const sample = { memberId: "m1", at: 9_000, version: 3, acceptsWork: true };
 
-/** Evidence and the promises that it breaks. */
-const cases: { name: string; evidence: Partial<Evidence>; broken: PromiseName[]; }[] = [
-    { name: "a good request", evidence: { runs: [makeService()], requests: [makeRequest()] }, broken: [] },
-    { name: "a good task", evidence: { runs: [makeTask()], jobs: [makeJob(DONE)] }, broken: [] },
+/** Evidence and the guarantees that it violates. */
+const cases: { name: string; evidence: Partial<Evidence>; broken: GuaranteeName[]; }[] = [
+    { name: "a correct request", evidence: { runs: [makeService()], requests: [makeRequest()] }, broken: [] },
+    { name: "a correct task", evidence: { runs: [makeTask()], jobs: [makeJob(DONE)] }, broken: [] },
     {
-        name: "too much handed out at one instant",
+        name: "more resources in use at one instant than the capacity",
         evidence: {
             runs: [
                 makeTask(),
@@ -132,7 +132,7 @@
                 makeTask({ label: JSON.stringify({ jobId: "j3", index: 0 }), startedAt: 199 }),
             ],
         },
-        broken: [PromiseName.capacity],
+        broken: [GuaranteeName.capacity],
     },
     {
         name: "a start at the instant of an end",
@@ -152,7 +152,7 @@
     {
         name: "more requests than slots",
         evidence: { runs: ["r1", "r2", "r3"].map(attempt => makeService({ attempt })) },
-        broken: [PromiseName.capacity],
+        broken: [GuaranteeName.capacity],
     },
     {
         name: "a repeatable task in two places",
@@ -160,7 +160,7 @@
             runs: [makeTask(), makeTask({ workerId: "w2", startedAt: 199, endedAt: 300 })],
             jobs: [makeJob(DONE, { spec: { ...SPEC, repeatable: true } })],
         },
-        broken: [PromiseName.onePlace],
+        broken: [GuaranteeName.onePlace],
     },
     {
         name: "a task that never ended, started again",
@@ -171,27 +171,27 @@
             ],
             jobs: [makeJob(DONE, { spec: { ...SPEC, repeatable: true } })],
         },
-        broken: [PromiseName.onePlace],
+        broken: [GuaranteeName.onePlace],
     },
     {
-        name: "another's answer",
+        name: "the answer of another request",
         evidence: { runs: [makeService()], requests: [makeRequest({ expected: "mine" })] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
-        name: "half an answer of a task",
+        name: "a truncated answer of a task",
         evidence: { runs: [makeTask()], jobs: [makeJob({ ...DONE, answer: Buffer.from("ri") } as Outcome)] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
         name: "an answer without a run",
         evidence: { requests: [makeRequest()] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
         name: "no answer",
         evidence: { requests: [makeRequest({ outcome: undefined, answeredAt: undefined })] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
         name: "no answer of an entry that died",
@@ -204,35 +204,35 @@
     {
         name: "an answer long after the deadline",
         evidence: { runs: [makeService()], requests: [makeRequest({ answeredAt: 9_000 })] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
-        name: "an accepted job without an end",
+        name: "an accepted job that never ends",
         evidence: { jobs: [makeJob(DONE, { view: undefined })] },
-        broken: [PromiseName.wholeAnswer],
+        broken: [GuaranteeName.wholeAnswer],
     },
     {
-        name: "not run, but it did",
+        name: "a request reported as not run that ran",
         evidence: { runs: [makeService()], requests: [makeRequest({ outcome: NOT_RUN })] },
-        broken: [PromiseName.trueNotRun],
+        broken: [GuaranteeName.trueNotRun],
     },
     {
-        name: "cancelled before its start, but it started",
+        name: "a task reported as cancelled before its start that started",
         evidence: { runs: [makeTask()], jobs: [makeJob({ kind: "cancelled", started: false })] },
-        broken: [PromiseName.trueNotRun],
+        broken: [GuaranteeName.trueNotRun],
     },
     {
-        name: "a task not run, but it did",
+        name: "a task reported as not run that ran",
         evidence: { runs: [makeTask()], jobs: [makeJob(NOT_RUN)] },
-        broken: [PromiseName.trueNotRun],
+        broken: [GuaranteeName.trueNotRun],
     },
     {
-        name: "a job not accepted, but it ran",
+        name: "a refused job that ran",
         evidence: { runs: [makeTask()], jobs: [refusedJob] },
-        broken: [PromiseName.trueNotRun],
+        broken: [GuaranteeName.trueNotRun],
     },
     {
-        name: "not run at first, run at a second ask",
+        name: "a request not run at the first attempt and run at the second",
         evidence: {
             runs: [makeService({ attempt: "r2" })],
             requests: [
@@ -243,15 +243,15 @@
         broken: [],
     },
     {
-        name: "a request that must not be repeated, twice",
+        name: "a non-repeatable request that ran twice",
         evidence: {
             runs: [makeService(), makeService({ workerId: "w2", startedAt: 300, endedAt: 400 })],
             requests: [makeRequest()],
         },
-        broken: [PromiseName.atMostOnce],
+        broken: [GuaranteeName.atMostOnce],
     },
     {
-        name: "one key asked at two entries, run twice",
+        name: "one key sent to two entries that ran twice",
         evidence: {
             runs: [makeService(), makeService({ attempt: "r2", startedAt: 300, endedAt: 400 })],
             requests: [
@@ -259,23 +259,23 @@
                 makeRequest({ requestId: "r2", workId: "k", memberId: "m2" }),
             ],
         },
-        broken: [PromiseName.atMostOnce],
+        broken: [GuaranteeName.atMostOnce],
     },
     {
-        name: "a task that must not be repeated, twice",
+        name: "a non-repeatable task that ran twice",
         evidence: { runs: [makeTask(), makeTask({ startedAt: 300, endedAt: 400 })], jobs: [makeJob(DONE)] },
-        broken: [PromiseName.atMostOnce],
+        broken: [GuaranteeName.atMostOnce],
     },
     {
-        name: "new work 2 s after the first sign of leaving",
+        name: "new work more than 2 s after the first leaving signal",
         evidence: {
             runs: [makeTask({ startedAt: 2_101, endedAt: 2_200 })],
             leaving: [{ workerId: "w1", at: 100 }],
         },
-        broken: [PromiseName.leavingWorker],
+        broken: [GuaranteeName.leavingWorker],
     },
     {
-        name: "new work within 2 s of the first sign",
+        name: "new work within 2 s of the first leaving signal",
         evidence: {
             runs: [makeTask({ startedAt: 2_000, endedAt: 2_200 })],
             leaving: [{ workerId: "w1", at: 100 }],
@@ -288,7 +288,7 @@
             requests: [makeRequest({ outcome: { kind: "mayHaveRun", message: "link" } })],
             shutdowns: [{ memberId: "m1", at: 100, undisturbed: true }],
         },
-        broken: [PromiseName.gracefulShutdown],
+        broken: [GuaranteeName.gracefulShutdown],
     },
     {
         name: "a request without an answer at an entry that has left",
@@ -296,7 +296,7 @@
             requests: [makeRequest({ outcome: undefined, answeredAt: undefined, deadline: 99_000 })],
             shutdowns: [{ memberId: "m1", at: 100, undisturbed: false }],
         },
-        broken: [PromiseName.gracefulShutdown],
+        broken: [GuaranteeName.gracefulShutdown],
     },
     {
         name: "a request without an answer at an entry that died while it left",
@@ -308,32 +308,35 @@
         broken: [],
     },
     {
-        name: "an entry that goes back",
+        name: "an entry that returns to an older settings version",
         evidence: { samples: [sample, { ...sample, at: 9_500, version: 2 }] },
-        broken: [PromiseName.settings],
+        broken: [GuaranteeName.settings],
     },
     {
-        name: "an entry that acts on old settings",
+        name: "an entry that accepts work under old settings",
         evidence: { samples: [sample], edits: [{ version: 4, acceptedAt: 4_900 }] },
-        broken: [PromiseName.settings],
+        broken: [GuaranteeName.settings],
     },
     {
-        name: "an entry that holds old settings and does not act",
-        evidence: { samples: [{ ...sample, acts: false }], edits: [{ version: 4, acceptedAt: 4_900 }] },
+        name: "an entry that has old settings and accepts no work",
+        evidence: {
+            samples: [{ ...sample, acceptsWork: false }],
+            edits: [{ version: 4, acceptedAt: 4_900 }],
+        },
         broken: [],
     },
 ];
 
-describe("checkPromises", () => {
+describe("checkGuarantees", () => {
     for (const { name, evidence, broken } of cases) {
-        it(`${name}: ${broken.length === 0 ? "nothing broken" : broken.join(", ")}`, () => {
-            const violations = checkPromises(makeEvidence(evidence));
-            assert.deepEqual([...new Set(violations.map(violation => violation.promise))], broken);
+        it(`${name}: ${broken.length === 0 ? "no violation" : broken.join(", ")}`, () => {
+            const violations = checkGuarantees(makeEvidence(evidence));
+            assert.deepEqual([...new Set(violations.map(violation => violation.guarantee))], broken);
         });
     }
 
-    it("has a case for each promise", () => {
+    it("has a case for each guarantee", () => {
         const covered = new Set(cases.flatMap(each => each.broken));
-        assert.deepEqual([...covered].sort(), Object.values(PromiseName).sort());
+        assert.deepEqual([...covered].sort(), Object.values(GuaranteeName).sort());
     });
 });
--- a/src/test/faults/evidence.ts
+++ b/src/test/faults/evidence.ts
@@ -1,4 +1,7 @@
-/** What a fault run leaves behind for the checker: what ran, what callers and operators were told, and when. */
+/**
+ * Evidence that a fault run records for the checker: what ran, and which replies callers and operators got
+ * when.
+ */
 import type { Millis } from "../../common/clock.js";
 import type { Outcome } from "../../common/outcome.js";
 import type { HomeReply } from "../../connection/messages.js";
@@ -6,83 +9,83 @@
 import type { JournalCapacity, JournalRun } from "../../stand-ins/index.js";
 
 /** One service request as its caller sent it. */
-export interface AskedRequest {
+export interface SentRequest {
     readonly requestId: string;
-    /** Equal for all asks that are the same work: the idempotency key, or the request id without one. */
+    /** Equal for all requests for the same work: the idempotency key, or the request id if there is no key. */
     readonly workId: string;
     readonly repeatable: boolean;
     readonly memberId: string;
     readonly sentAt: Millis;
     readonly deadline: Millis;
-    /** What a right answer says. */
+    /** Content of a correct answer. */
     readonly expected: string;
     outcome?: Outcome;
     answeredAt?: Millis;
 }
 
-/** One job and all that its caller was told of it. */
-export interface AskedJob {
+/** One job and the replies that its caller got. */
+export interface SubmittedJob {
     readonly spec: JobSpec;
-    /** What a right answer of each task says. */
+    /** Content of a correct answer of each task. */
     readonly expected: string;
-    /** Known once an entry was asked. */
+    /** Set at the first submission attempt. */
     jobId?: string;
-    /** Answers to the asks to accept it; undefined for one that never came. */
+    /** Replies to the submission attempts; undefined where none arrived. */
     readonly submits: (HomeReply | undefined)[];
     acceptedAt?: Millis;
     cancelledAt?: Millis;
-    /** The last view that was shown. */
+    /** The most recent view that an entry returned. */
     view?: JobView;
 }
 
-/** An edit that an operator was told is accepted. */
+/** An edit whose acceptance was reported to the operator. */
 export interface AcceptedEdit {
     readonly version: number;
     readonly acceptedAt: Millis;
 }
 
-/** Settings version of a member at an instant, and whether it takes new work under it. */
+/** Settings version of a member at an instant, and whether the member accepts new work under it. */
 export interface SettingsSample {
     readonly memberId: string;
     readonly at: Millis;
     readonly version: number;
-    readonly acts: boolean;
+    readonly acceptsWork: boolean;
 }
 
-/** First sign, visible to the system, that a worker leaves. */
+/** First signal, visible to the system, that a worker leaves. */
 export interface LeavingSignal {
     readonly workerId: string;
     readonly at: Millis;
-    /** End of the signal, if the worker came back. */
+    /** End of the signal, if the worker returned to service. */
     until?: Millis;
 }
 
-/** A member that was asked to leave in order. */
+/** A member that was asked to shut down gracefully. */
 export interface ShutdownRecord {
     readonly memberId: string;
     readonly at: Millis;
-    /** Whether no other fault struck: then every request in flight there must be answered by what became of it. */
+    /** Whether no other fault occurred; then every request in flight there must get its true outcome. */
     readonly undisturbed: boolean;
 }
 
-/** A member that died or was paused: callers connected to it get no answer. */
+/** A period in which a member was dead or paused, so that callers connected to it get no answer. */
 export interface MemberOutage {
     readonly memberId: string;
     readonly at: Millis;
     readonly until?: Millis;
 }
 
-/** Everything that a run leaves behind. */
+/** All evidence of a run. */
 export interface Evidence {
     readonly runs: readonly JournalRun[];
     readonly capacities: readonly JournalCapacity[];
-    readonly requests: readonly AskedRequest[];
-    readonly jobs: readonly AskedJob[];
+    readonly requests: readonly SentRequest[];
+    readonly jobs: readonly SubmittedJob[];
     readonly edits: readonly AcceptedEdit[];
     readonly samples: readonly SettingsSample[];
     readonly leaving: readonly LeavingSignal[];
     readonly shutdowns: readonly ShutdownRecord[];
     readonly outages: readonly MemberOutage[];
-    /** Instant at which the run ended, long after the last fault. */
+    /** End of the run, long after the last fault. */
     readonly endedAt: Millis;
 }
--- a/src/test/faults/partitions_test.ts
+++ b/src/test/faults/partitions_test.ts
@@ -1,14 +1,14 @@
-/** Stories of partitions, on both kinds of workers. */
+/** Network partitions, on workers that compare epochs and on workers that know leases only. */
 import { describe, it } from "node:test";
-import type { StoryScope } from "./stories.js";
-import { runLoad, runStoryOnBoth } from "./stories.js";
+import type { ScenarioScope } from "./scenarios.js";
+import { runLoad, runScenarioOnBothKinds } from "./scenarios.js";
 
 const LOAD_MS = 6_000;
 const CUT_MS = 15_000;
 
 interface PartitionCase {
     readonly name: string;
-    readonly cut: (scope: StoryScope) => void;
+    readonly cut: (scope: ScenarioScope) => void;
 }
 
 const cases: PartitionCase[] = [
@@ -23,7 +23,7 @@
     },
     { name: "two halves are cut from each other", cut: ({ cell }) => cell.splitEntries(2, CUT_MS) },
     {
-        name: "two halves are cut from each other and the store is away",
+        name: "two halves are cut from each other and the store is unavailable",
         cut: ({ cell }) => {
             cell.splitEntries(2, CUT_MS);
             cell.stopStore(CUT_MS);
@@ -42,7 +42,7 @@
     },
 ];
 
-function cutPeers({ cell }: Pick<StoryScope, "cell">, index: number): void {
+function cutPeers({ cell }: Pick<ScenarioScope, "cell">, index: number): void {
     const { memberId } = cell.getMember(index);
     cell.network.cutMember(memberId);
     cell.clock.schedule(CUT_MS, () => cell.network.healMember(memberId));
@@ -50,10 +50,10 @@
 
 describe("partitions", () => {
     for (const { name, cut } of cases) {
-        it(`${name}: no task in two places, no false answer`, async () => {
-            // Callers see: waits, and "not run" that is true. Order: work flows, the links break for 15 s and heal, while
-            // everybody goes on as far as the rules let them. Cause: a switch or a region link fails.
-            await runStoryOnBoth(async scope => {
+        it(`${name}: no task runs in two places and no answer is false`, async () => {
+            // Guards against duplicate runs and false "not run" answers when a switch or a region link fails:
+            // under load the links break for 15 s and heal. Callers may see waits.
+            await runScenarioOnBothKinds(async scope => {
                 const load = runLoad(scope, LOAD_MS, 250);
                 await scope.cell.clock.step(1_000);
                 cut(scope);
--- a/src/test/faults/stories.ts
+++ b/src/test/faults/scenarios.ts
@@ -1,16 +1,16 @@
-/** What the named stories of failures share: a cell, a script, the end of all faults, and the checker. */
+/** Shared code of the fault scenarios: runs a script on a cell, lets it settle and checks all guarantees. */
 import assert from "node:assert/strict";
 import { sleep } from "../../common/clock.js";
 import type { Millis } from "../../common/clock.js";
 import { Callers } from "./callers.js";
 import type { CellMember } from "./cell-member.js";
 import { Cell, type CellOptions } from "./cell.js";
-import { checkPromises } from "./checker.js";
-import type { AskedJob } from "./evidence.js";
+import { checkGuarantees } from "./checker.js";
+import type { SubmittedJob } from "./evidence.js";
 import { settle } from "./random-runs.js";
 
-/** A story's cell and callers. */
-export interface StoryScope {
+/** A scenario's cell and callers. */
+export interface ScenarioScope {
     readonly cell: Cell;
     readonly callers: Callers;
 }
@@ -18,45 +18,43 @@
 const DEFAULT_OPTIONS: CellOptions = { seed: 11, entries: 4, workers: 6, comparesEpochs: true };
 
 /**
- * Runs a story: opens a cell, runs the script, lets all work end, and checks every promise.
- * @param script - What happens.
- * @param options - Differences from a cell of 4 entries and 6 workers.
+ * Runs a scenario: opens a cell, runs the script, lets all work end, and checks every guarantee.
+ * @param options - Overrides of the default cell of 4 entries and 6 workers.
  */
-export async function runStory(
-    script: (scope: StoryScope) => Promise<void>,
+export async function runScenario(
+    script: (scope: ScenarioScope) => Promise<void>,
     options: Partial<CellOptions> = {},
-): Promise<StoryScope> {
+): Promise<ScenarioScope> {
     const cell = new Cell({ ...DEFAULT_OPTIONS, ...options });
     await cell.open();
     const callers = new Callers(cell);
     await script({ cell, callers });
     await settle(cell, callers);
-    assert.deepEqual(checkPromises({ ...cell.collectEvidence(), ...callers }), []);
+    assert.deepEqual(checkGuarantees({ ...cell.collectEvidence(), ...callers }), []);
     return { cell, callers };
 }
 
-/** Runs a story on workers of both kinds. */
-export async function runStoryOnBoth(script: (scope: StoryScope) => Promise<void>): Promise<void> {
+/** Runs a scenario twice: on workers that compare epochs, and on workers that know leases only. */
+export async function runScenarioOnBothKinds(script: (scope: ScenarioScope) => Promise<void>): Promise<void> {
     for (const comparesEpochs of [true, false]) {
-        await runStory(script, { comparesEpochs });
+        await runScenario(script, { comparesEpochs });
     }
 }
 
 /**
- * Sends mixed work to all entries that are up, until a time is over.
- * @param scope - The cell and its callers.
- * @param duration - How long.
- * @param interval - Between two requests.
+ * Sends mixed work to the entries that are up, in turn.
+ * @param duration - Length of the load in milliseconds.
+ * @param interval - Milliseconds between two requests.
  */
 export async function runLoad(
-    { cell, callers }: StoryScope,
+    { cell, callers }: ScenarioScope,
     duration: Millis,
     interval: Millis,
 ): Promise<void> {
     const end = cell.clock.now() + duration;
     for (let index = 0; cell.clock.now() < end; index++) {
-        const up = cell.listUp();
-        const member = up[index % Math.max(1, up.length)];
+        const reachable = cell.listUp();
+        const member = reachable[index % Math.max(1, reachable.length)];
         if (member !== undefined) {
             void callers.sendRequest(member, { repeatable: index % 3 !== 0, serviceMs: 40 });
         }
@@ -67,14 +65,14 @@
     }
 }
 
-/** Returns the entry that owns a home slice, as the first entry that is up knows. */
+/** Returns the entry that owns a home slice, according to the first entry that is up. */
 export function findHomeOwner(cell: Cell, slice: number): CellMember {
     const [first] = cell.listUp();
     const owner = first?.entry.operators.getStatus().homeSlices[slice]?.owner;
     return requireMember(cell, owner);
 }
 
-/** Returns the entry that owns the slice of a worker. */
+/** Returns the entry that places work on a worker. */
 export function findPlacer(cell: Cell, workerId: string): CellMember {
     const owner = cell.listUp().find(member =>
         member.entry.operators.getStatus().workers.some(worker => worker.workerId === workerId)
@@ -82,12 +80,12 @@
     return requireMember(cell, owner?.memberId);
 }
 
-/** Returns how the tasks of a job stand. */
-export function getCounts(job: AskedJob): Record<string, number> {
+/** Returns the non-zero counts of a job's tasks by state. */
+export function getTaskCounts(job: SubmittedJob): Record<string, number> {
     return Object.fromEntries(Object.entries(job.view?.counts ?? {}).filter(([, count]) => count > 0));
 }
 
-/** Counts the answers to requests by their kind. */
+/** Counts the outcomes of requests by their kind; those without an answer count as `none`. */
 export function countOutcomes(callers: Callers): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { outcome } of callers.requests) {
@@ -98,7 +96,7 @@
 }
 
 function requireMember(cell: Cell, memberId: string | undefined): CellMember {
-    const member = cell.listLives().find(life => life.memberId === memberId);
-    assert(member !== undefined, `no entry ${memberId ?? "with such an owner"}`);
+    const member = cell.listIncarnations().find(incarnation => incarnation.memberId === memberId);
+    assert(member !== undefined, `no entry ${memberId ?? "that is the owner"}`);
     return member;
 }
--- a/src/test/faults/smoke_test.ts
+++ b/src/test/faults/smoke_test.ts
@@ -1,9 +1,9 @@
-/** A cell without faults: every kind of work is placed and answered. */
+/** Without faults, a cell places and answers every kind of work. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Callers } from "./callers.js";
 import { Cell } from "./cell.js";
-import { checkPromises } from "./checker.js";
+import { checkGuarantees } from "./checker.js";
 
 describe("a cell without faults", () => {
     for (const comparesEpochs of [true, false]) {
@@ -25,7 +25,7 @@
             await cell.clock.step(8_000);
             await cell.clock.wait(callers.refresh(), 10_000);
             const evidence = { ...cell.collectEvidence(), ...callers };
-            assert.deepEqual(checkPromises(evidence), []);
+            assert.deepEqual(checkGuarantees(evidence), []);
             assert.deepEqual(callers.requests.map(request => request.outcome?.kind), [
                 "done",
                 "done",
--- a/src/test/faults/store-faults_test.ts
+++ b/src/test/faults/store-faults_test.ts
@@ -1,16 +1,16 @@
-/** Stories of the store: away, slow, forgetful of answers, and two operators at once. */
+/** Store outages, slow calls and lost answers, and settings edits under faults. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Branch } from "./cell.js";
-import { countOutcomes, runLoad, runStory, runStoryOnBoth } from "./stories.js";
+import { countOutcomes, runLoad, runScenario, runScenarioOnBothKinds } from "./scenarios.js";
 
 describe("the store", () => {
-    it("is away for ten minutes under load", async () => {
-        // Visitors see: answers as always. Volunteers see: "not run" with a time to come back. Order: the store goes away
-        // for ten minutes and comes back. Cause: an outage of the platform, longer than every lease.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
+    it("is unavailable for ten minutes under load", async () => {
+        // Guards against failing repeatable requests during a platform outage that is longer than every lease.
+        // Requests that must not be repeated get "not run" with a time to retry.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
             cell.stopStore(600_000);
-            const load = runLoad({ cell, callers: asking }, 90_000, 1_500);
+            const load = runLoad({ cell, callers: scenarioCallers }, 90_000, 1_500);
             await cell.clock.wait(load, 95_000);
             await cell.clock.step(515_000);
         }, { cell: { outageToleranceMs: 900_000 } });
@@ -19,10 +19,10 @@
         assert(answered >= visitors.length * 0.95, `${answered} of ${visitors.length} visitors answered`);
     });
 
-    it("is away beyond what the settings tolerate, on both kinds of workers", async () => {
-        // Visitors see: "not run" once nobody can tell any more who owns what. Order: the store is away for longer than
-        // outageToleranceMs. Cause: an outage. Nothing runs twice when it comes back.
-        await runStoryOnBoth(async ({ cell, callers }) => {
+    it("is unavailable for longer than the settings tolerate, on both kinds of workers", async () => {
+        // Guards against work that runs twice after an outage longer than outageToleranceMs. Callers get "not
+        // run" once ownership can no longer be known.
+        await runScenarioOnBothKinds(async ({ cell, callers }) => {
             cell.stopStore(135_000);
             const load = runLoad({ cell, callers }, 20_000, 900);
             await cell.clock.wait(load, 30_000);
@@ -31,15 +31,15 @@
     });
 
     it("answers after 5 s", async () => {
-        // Operators and volunteers see: slow confirmations, never wrong ones. Order: every call takes effect after 2.5 s
-        // and is answered after 5 s. Leases are those of a new tree: none shorter than the way to the store and back can be
-        // kept. Cause: an overloaded store.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
+        // Guards against wrong confirmations and failing repeatable requests while the store is overloaded:
+        // every call takes effect after 2.5 s and is answered after 5 s. The leases are those of a new tree,
+        // since a lease shorter than the round trip to the store can't be kept.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
             for (let index = 0; index < 4; index++) {
                 cell.getMember(index).storePath.faults.slowMs = 2_500;
             }
-            const load = runLoad({ cell, callers: asking }, 20_000, 500);
-            void asking.edit(cell.getMember(1), 501);
+            const load = runLoad({ cell, callers: scenarioCallers }, 20_000, 500);
+            void scenarioCallers.edit(cell.getMember(1), 501);
             await cell.clock.wait(load, 30_000);
             for (let index = 0; index < 4; index++) {
                 cell.getMember(index).storePath.faults.slowMs = 0;
@@ -49,15 +49,15 @@
         assert(visitors.filter(request => request.outcome?.kind === "done").length >= visitors.length * 0.9);
     });
 
-    it("takes a write and loses its answer", async () => {
-        // A council sees: its job accepted once. Order: the acceptance is written, the answer is lost, the home repeats
-        // the write under the same id. Cause: a lost answer.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
+    it("applies a write and its answer is lost", async () => {
+        // Guards against a job accepted twice when the answer to the write of its acceptance is lost and the
+        // home repeats the write under the same id.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
             for (let index = 0; index < 4; index++) {
                 cell.getMember(index).storePath.faults.dropAnswerShare = 0.5;
             }
             await cell.clock.wait(
-                asking.submit({ kind: "batch", tasks: 3, runMs: 300, repeatable: false }),
+                scenarioCallers.submit({ kind: "batch", tasks: 3, runMs: 300, repeatable: false }),
                 60_000,
             );
             for (let index = 0; index < 4; index++) {
@@ -67,15 +67,21 @@
         assert.equal(callers.jobs[0]?.view?.counts.done, 3);
     });
 
-    it("takes a write, loses its answer, and the writer dies", async () => {
-        // A council sees: no answer, asks again, and its job ran once. Order: the acceptance is written, the answer is
-        // lost, the home dies, the next home reads it back. Cause: a lost answer and a lost VM together.
+    it("applies a write, its answer is lost, and the writer dies", async () => {
+        // Guards against a job that runs twice when the answer to the write of its acceptance is lost and the
+        // home is lost with its VM. The caller gets no answer and retries; the next home recovers the
+        // acceptance.
         for (const offset of [2, 4, 8, 15, 40]) {
-            const { callers } = await runStory(async ({ cell, callers: asking }) => {
+            const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
                 for (let index = 0; index < 4; index++) {
                     cell.getMember(index).storePath.faults.dropAnswerShare = 1;
                 }
-                const submit = asking.submit({ kind: "short", tasks: 1, runMs: 50, repeatable: false });
+                const submit = scenarioCallers.submit({
+                    kind: "short",
+                    tasks: 1,
+                    runMs: 50,
+                    repeatable: false,
+                });
                 await cell.clock.step(offset);
                 cell.killEntry(0);
                 cell.killEntry(1);
@@ -90,22 +96,25 @@
 });
 
 describe("edits of the settings", () => {
-    it("of one field at two entries: one is accepted, the other is told of the conflict", async () => {
-        // Two operators see: one acceptance, one conflict with both values. Order: both read version 1 and edit the same
-        // field at the same moment at two entries. Cause: people.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
-            const both = [asking.edit(cell.getMember(0), 301), asking.edit(cell.getMember(2), 302)];
+    it("of one field at two entries: one is accepted, the other gets a conflict", async () => {
+        // Guards against a lost update when two operators read version 1 and edit the same field at the same
+        // time at two entries.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
+            const both = [
+                scenarioCallers.edit(cell.getMember(0), 301),
+                scenarioCallers.edit(cell.getMember(2), 302),
+            ];
             await cell.clock.wait(Promise.all(both), 20_000);
         });
         assert.deepEqual(callers.replies.map(reply => reply.kind).sort(), ["accepted", "conflict"]);
     });
 
     it("of different branches at two entries: both are accepted", async () => {
-        // Two operators see: both accepted. Order: as above, in different branches. Cause: people.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
+        // As above, in different branches: neither operator may get a conflict.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
             const both = [
-                asking.edit(cell.getMember(0), 301),
-                asking.edit(cell.getMember(2), 302, "queueLimit", Branch.short),
+                scenarioCallers.edit(cell.getMember(0), 301),
+                scenarioCallers.edit(cell.getMember(2), 302, "queueLimit", Branch.short),
             ];
             await cell.clock.wait(Promise.all(both), 20_000);
         });
@@ -113,9 +122,9 @@
     });
 
     it("while the watches break and answers are lost", async () => {
-        // An operator sees: accepted, and it is in force. Order: watches of all entries are cut while the edit is
-        // written. Cause: a network fault between entries and store.
-        await runStory(async ({ cell, callers }) => {
+        // Guards against an accepted edit that doesn't come into force when a network fault cuts three entries
+        // off the store, and with it their watches, while the edit is written.
+        await runScenario(async ({ cell, callers }) => {
             const edit = callers.edit(cell.getMember(0), 310);
             await cell.clock.step(3);
             [1, 2, 3].forEach(index => cell.cutStore(cell.getMember(index), 7_000));
@@ -123,15 +132,15 @@
         });
     });
 
-    it("whose entry dies before it answers stay or were never made, on all entries alike", async () => {
-        // An operator sees: no answer. Order: the entry writes the edit and dies at any point before it answers; the
-        // others go on. Cause: a lost VM. No entry goes back.
+    it("whose entry dies before it answers take effect on all entries or on none", async () => {
+        // Guards against entries that disagree on the version, or go back to an older one, when the entry that
+        // writes an edit is lost with its VM before it answers.
         for (const offset of [1, 3, 5, 8, 30]) {
-            const { cell } = await runStory(async ({ cell: running, callers }) => {
-                void callers.edit(running.getMember(0), 320);
-                await running.clock.step(offset);
-                running.killEntry(0);
-                await running.clock.step(6_000);
+            const { cell } = await runScenario(async ({ cell: scenarioCell, callers }) => {
+                void callers.edit(scenarioCell.getMember(0), 320);
+                await scenarioCell.clock.step(offset);
+                scenarioCell.killEntry(0);
+                await scenarioCell.clock.step(6_000);
             });
             await cell.clock.step(5_000);
             const versions = cell.listUp().map(member => member.entry.operators.readTree()?.version);
@@ -139,15 +148,16 @@
         }
     });
 
-    it("accepted with one entry cut off are never acted against", async () => {
-        // An operator sees: accepted only when the cut-off entry confirmed or surely stopped. Order: one entry hears
-        // neither store nor peers, the edit is made elsewhere, callers ask the cut-off entry. Cause: a partition.
-        const { callers } = await runStory(async ({ cell, callers: asking }) => {
+    it("accepted while one entry is cut off are never violated by it", async () => {
+        // Guards against an entry that serves under old settings after an edit was accepted elsewhere: a
+        // partition cuts it off the store and its peers while callers send it requests. The edit may be
+        // accepted only once that entry has confirmed it or has surely stopped.
+        const { callers } = await runScenario(async ({ cell, callers: scenarioCallers }) => {
             const { memberId } = cell.getMember(3);
             cell.network.cutMember(memberId);
             cell.cutStore(cell.getMember(3), 20_000);
-            const edit = asking.edit(cell.getMember(0), 330);
-            const load = runLoad({ cell, callers: asking }, 18_000, 300);
+            const edit = scenarioCallers.edit(cell.getMember(0), 330);
+            const load = runLoad({ cell, callers: scenarioCallers }, 18_000, 300);
             await cell.clock.wait(Promise.all([edit, load]), 40_000);
             cell.network.healMember(memberId);
         });
--- a/src/test/golden/session.ts
+++ b/src/test/golden/session.ts
@@ -1,8 +1,8 @@
 /**
- * Records a session of HTTP requests against entries in this process, as text that is compared with a file.
+ * Records a session of HTTP requests against entries in this process, as text to compare with a golden file.
  *
- * @remarks Sockets are real, time is fake: it moves only while an entry works on a request, so that the speed of
- * sockets decides nothing. What chance decides (ids, chosen workers, instants) is replaced by names.
+ * @remarks Sockets are real but the clock is fake: it advances only while an entry works on a request, so that
+ * socket speed does not affect the record. Ids, chosen workers and timestamps are replaced by placeholders.
  */
 import assert from "node:assert/strict";
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
@@ -14,11 +14,11 @@
 import { flushMicrotasks } from "../fakes/fake-clock.js";
 import { hashToken, OPERATOR_TOKEN, OTHER_TOKEN, TEAM_TOKEN } from "../fakes/fake-gateway.js";
 
-/** Set this variable to write the files anew. */
+/** Environment variable that makes the tests rewrite the golden files. */
 const UPDATE_VARIABLE = "UPDATE_GOLDEN";
 const FOLDER = "src/test/golden";
 const STEP_MS = 5;
-const SHOWN_HEADERS = [
+const RECORDED_HEADERS = [
     "content-type",
     "location",
     "retry-after",
@@ -52,25 +52,25 @@
     readonly token?: string;
     readonly headers?: Readonly<Record<string, string>>;
     readonly body?: unknown;
-    /** Entry that takes it, counted from 0. */
+    /** Zero-based index of the entry that receives the request; defaults to 0. */
     readonly entry?: number;
 }
 
-/** What later requests of a session need of an answer. */
+/** The parts of a response that later requests of a session use. */
 export interface SessionReply {
     readonly status: number;
     readonly location: string;
     readonly value: unknown;
 }
 
-/** A cell with HTTP in front, and the record of what was said. */
+/** A cell served over HTTP, and the record of the requests and responses. */
 export class Session {
     readonly cell = new FakeCell({ changes: CHANGES });
     private readonly servers: HttpServer[] = [];
     private readonly lines: string[] = [];
-    private readonly names = new Map<string, string>();
-    /** Calls to entries that are not answered. */
-    private working = 0;
+    private readonly placeholders = new Map<string, string>();
+    /** Number of calls to entries in flight. */
+    private pendingCalls = 0;
 
     async open(): Promise<void> {
         await this.cell.start();
@@ -97,12 +97,12 @@
         this.cell.members.forEach(member => this.cell.kill(member));
     }
 
-    /** Writes a line for the reader. */
+    /** Adds a comment line to the record. */
     write(line: string): void {
         this.lines.push(`# ${line}`, "");
     }
 
-    /** Sends a request, moves time until its answer is there, and records both. */
+    /** Sends a request, advances the clock until the response arrives, and records both. */
     async send(request: SessionRequest): Promise<SessionReply> {
         const server = this.servers[request.entry ?? 0];
         assert.ok(server);
@@ -119,7 +119,7 @@
             settled = true;
         });
         while (!settled) {
-            await (this.working > 0 ? this.cell.clock.step(STEP_MS) : flushMicrotasks());
+            await (this.pendingCalls > 0 ? this.cell.clock.step(STEP_MS) : flushMicrotasks());
         }
         const response = await answered;
         const text = await response.text();
@@ -129,7 +129,7 @@
         return { status: response.status, location, value: isJson ? JSON.parse(text) : text };
     }
 
-    /** Compares the record with its file, or writes the file when told so. */
+    /** Compares the record with its golden file, or rewrites the file if the environment variable is set. */
     check(name: string): void {
         const path = `${FOLDER}/${name}.golden`;
         const text = `${this.lines.join("\n").trimEnd()}\n`;
@@ -158,33 +158,38 @@
     }
 
     private async track<Value>(call: Promise<Value>): Promise<Value> {
-        this.working += 1;
+        this.pendingCalls += 1;
         return await call.finally(() => {
-            this.working -= 1;
+            this.pendingCalls -= 1;
         });
     }
 
     private recordExchange(request: SessionRequest, response: Response, text: string): void {
         this.lines.push(
-            `> ${request.method} ${this.replaceChance(request.path)} (entry ${request.entry ?? 0})`,
+            `> ${request.method} ${this.replaceVariableParts(request.path)} (entry ${request.entry ?? 0})`,
         );
         for (const [name, value] of Object.entries(request.headers ?? {})) {
             this.lines.push(`> ${name}: ${value}`);
         }
         this.lines.push(...request.body === undefined ? [] : [JSON.stringify(request.body)]);
         this.lines.push(`< ${response.status}`);
-        for (const name of SHOWN_HEADERS) {
+        for (const name of RECORDED_HEADERS) {
             const value = response.headers.get(name) ?? "";
-            this.lines.push(...response.headers.has(name) ? [`< ${name}: ${this.replaceChance(value)}`] : []);
+            this.lines.push(
+                ...response.headers.has(name) ? [`< ${name}: ${this.replaceVariableParts(value)}`] : [],
+            );
         }
-        this.lines.push(this.replaceChance(formatBody(response, text)), "");
+        this.lines.push(this.replaceVariableParts(formatBody(response, text)), "");
     }
 
-    private replaceChance(text: string): string {
+    private replaceVariableParts(text: string): string {
         for (const [, id = ""] of text.matchAll(/(?:\/v1\/jobs\/|"jobId": ")([^/?"\s]+)/g)) {
-            this.names.set(id, this.names.get(id) ?? `<job-${this.names.size + 1}>`);
+            this.placeholders.set(id, this.placeholders.get(id) ?? `<job-${this.placeholders.size + 1}>`);
         }
-        const named = [...this.names].reduce((result, [id, name]) => result.replaceAll(id, name), text);
+        const named = [...this.placeholders].reduce(
+            (result, [id, name]) => result.replaceAll(id, name),
+            text,
+        );
         return named
             .replace(/worker-\d+/g, "<worker>")
             .replace(/rack-\d+/g, "<rack>")
--- a/src/test/golden/sessions_test.ts
+++ b/src/test/golden/sessions_test.ts
@@ -1,13 +1,13 @@
 /**
- * Whole sessions of each kind of caller and of an operator, against golden files. `UPDATE_GOLDEN=1 npm test --
- * golden` writes the files anew; read the difference before it is committed.
+ * Compares complete sessions of each kind of caller and of an operator with golden files.
+ * `UPDATE_GOLDEN=1 npm test -- golden` rewrites the files; review the difference before committing it.
  */
 import { describe, it } from "node:test";
 import { OPERATOR, OTHER_TEAM, Session, TEAM } from "./session.js";
 
 const SERVICE = "/v1/services/services/catalogo-beni";
-const TYPE = { "content-type": "application/json" };
-const SIZE = { cpuMillis: 2_000, memoryMib: 1_024 };
+const JSON_CONTENT = { "content-type": "application/json" };
+const TASK_SIZE = { cpuMillis: 2_000, memoryMib: 1_024 };
 
 async function submitAndWait(
     session: Session,
@@ -23,7 +23,7 @@
     {
         name: "visitor-check",
         run: async session => {
-            const headers = { ...TYPE, "x-repeatable": "true", "x-deadline-ms": "2000" };
+            const headers = { ...JSON_CONTENT, "x-repeatable": "true", "x-deadline-ms": "2000" };
             const ask = (body: unknown, more = {}) =>
                 session.send({
                     method: "POST",
@@ -50,7 +50,7 @@
     {
         name: "volunteer-correction",
         run: async session => {
-            const headers = { ...TYPE, "idempotency-key": "correction-114" };
+            const headers = { ...JSON_CONTENT, "idempotency-key": "correction-114" };
             const body = { serviceMs: 5, answer: "san-rocco opens at 09:30" };
             const correct = (entry: number, content: unknown) =>
                 session.send({ method: "POST", path: SERVICE, token: TEAM, headers, body: content, entry });
@@ -73,7 +73,7 @@
                 branch: "batch/season-rebuild",
                 tasks: 4,
                 repeatable: true,
-                resources: SIZE,
+                resources: TASK_SIZE,
                 estimateMs: 500,
                 payload: JSON.stringify({ runMs: 500, answer: "rebuilt" }),
             };
@@ -102,7 +102,7 @@
                 kind: "gang",
                 branch: "gang/river-reach",
                 tasks: 4,
-                resources: { ...SIZE, accelerators: 1 },
+                resources: { ...TASK_SIZE, accelerators: 1 },
                 estimateMs: 1_000,
                 payload: JSON.stringify({ runMs: 1_000, answer: "water level 4.2 m" }),
             };
@@ -124,7 +124,7 @@
                 kind: "batch",
                 branch: "batch/impeller-sweep",
                 tasks: 3,
-                resources: SIZE,
+                resources: TASK_SIZE,
                 estimateMs: 100_000,
                 payload: JSON.stringify({ runMs: 100_000, answer: "swept" }),
             };
--- a/src/test/load/load-profile.ts
+++ b/src/test/load/load-profile.ts
@@ -1,4 +1,4 @@
-/** What callers hand in during a played load, drawn from a seed. */
+/** The jobs that callers submit during a played load, generated from a seed. */
 import type { Millis } from "../../common/clock.js";
 import { createRandom } from "../../common/random.js";
 import type { Random } from "../../common/random.js";
@@ -7,31 +7,31 @@
 import type { QueueConfig } from "../../version/cluster-config.js";
 import { makeJobId, makeSpec, QUEUE } from "../leader/leader-cell.js";
 
-/** Spread of a figure around its mean: the logarithm's standard deviation, and a cap. */
-interface Spread {
+/** A log-normal distribution: its mean, the standard deviation of the logarithm, and an upper bound. */
+interface Distribution {
     readonly mean: number;
     readonly sigma: number;
-    readonly most: number;
+    readonly max: number;
 }
 
-/** One kind of job. */
+/** A class of jobs. */
 export interface LoadClass {
     readonly queue: QueueConfig;
-    readonly perSecond: number;
-    /** What a mean job is worth to its caller in time; a late one is worth a fifth. */
+    readonly arrivalsPerSecond: number;
+    /** Worth of an average job to its caller when it ends in time; a late one is worth a fifth of that. */
     readonly worth: number;
     readonly steps: number;
-    readonly width: Spread;
-    readonly cpuMillis: Spread;
-    readonly memoryMib: Spread;
-    readonly runMs: Spread;
-    /** Deviation of estimates. */
+    readonly width: Distribution;
+    readonly cpuMillis: Distribution;
+    readonly memoryMib: Distribution;
+    readonly runMs: Distribution;
+    /** Standard deviation of the logarithm of the estimate's error factor. */
     readonly estimateSigma: number;
     readonly gangShare: number;
-    readonly savingShare: number;
+    readonly checkpointingShare: number;
     readonly failingShare: number;
     readonly allowedShare: number;
-    /** When more of them come, and how many times as many. */
+    /** Period in which the arrival rate is multiplied by a factor. */
     readonly burst?: { readonly from: Millis; readonly to: Millis; readonly factor: number; };
 }
 
@@ -39,19 +39,19 @@
 export interface LoadProfile {
     readonly workers: number;
     readonly capacity: Resources;
-    /** Nodes that can ask the advice service. */
+    /** Number of nodes that can send requests to the advice service. */
     readonly nodes: number;
-    readonly lengthMs: Millis;
+    readonly durationMs: Millis;
     readonly classes: readonly LoadClass[];
 }
 
-/** A job on its way. */
+/** A job to be submitted. */
 export interface LoadJob {
     readonly number: number;
     readonly kind: LoadClass;
     readonly at: Millis;
     readonly spec: JobSpec;
-    /** True run times of its steps. */
+    /** Actual run times of its steps. */
     readonly runMs: readonly Millis[];
     readonly worth: number;
 }
@@ -64,14 +64,14 @@
 }
 
 /**
- * Three unlike queues that together want nine tenths of all processors: quick checks, large gangs, and long rows of tasks
- * that can be stopped. A burst of gangs wants more than there is.
+ * Three different queues that together demand nine tenths of all processors: quick checks, large gangs, and
+ * wide steps of preemptible tasks. During a burst of gangs the demand exceeds the capacity.
  */
 export const SCARCE_LOAD: LoadProfile = {
     workers: 126,
     capacity: { cpuMillis: 64_000, memoryMib: 262_144, accelerators: 0 },
     nodes: 32,
-    lengthMs: 30_000,
+    durationMs: 30_000,
     classes: [
         {
             queue: makeQueue("gangs", {
@@ -80,16 +80,16 @@
                 targetMs: 1_000,
                 advice: { decideMs: 494, perWorkerMs: 7.15, validMs: VALID_MS },
             }),
-            perSecond: 2.19,
+            arrivalsPerSecond: 2.19,
             worth: 4.35,
             steps: 1.2,
-            width: { mean: 13, sigma: 0.6, most: 64 },
-            cpuMillis: { mean: 18_000, sigma: 0.4, most: 30_000 },
-            memoryMib: { mean: 68_000, sigma: 0.5, most: 140_000 },
-            runMs: { mean: 6_200, sigma: 0.5, most: 16_000 },
+            width: { mean: 13, sigma: 0.6, max: 64 },
+            cpuMillis: { mean: 18_000, sigma: 0.4, max: 30_000 },
+            memoryMib: { mean: 68_000, sigma: 0.5, max: 140_000 },
+            runMs: { mean: 6_200, sigma: 0.5, max: 16_000 },
             estimateSigma: 0.2,
             gangShare: 1,
-            savingShare: 0.5,
+            checkpointingShare: 0.5,
             failingShare: 0.05,
             allowedShare: 0.35,
             burst: { from: 12_000, to: 16_000, factor: 1.8 },
@@ -101,16 +101,16 @@
                 targetMs: 3_000,
                 advice: { decideMs: 182, perWorkerMs: 2.6, validMs: VALID_MS },
             }),
-            perSecond: 2.85,
+            arrivalsPerSecond: 2.85,
             worth: 2.08,
             steps: 1.5,
-            width: { mean: 15, sigma: 0.6, most: 76 },
-            cpuMillis: { mean: 11_000, sigma: 0.45, most: 33_000 },
-            memoryMib: { mean: 41_000, sigma: 0.6, most: 120_000 },
-            runMs: { mean: 3_400, sigma: 0.5, most: 8_400 },
+            width: { mean: 15, sigma: 0.6, max: 76 },
+            cpuMillis: { mean: 11_000, sigma: 0.45, max: 33_000 },
+            memoryMib: { mean: 41_000, sigma: 0.6, max: 120_000 },
+            runMs: { mean: 3_400, sigma: 0.5, max: 8_400 },
             estimateSigma: 0.2,
             gangShare: 0,
-            savingShare: 0.8,
+            checkpointingShare: 0.8,
             failingShare: 0.005,
             allowedShare: 0.45,
         },
@@ -121,33 +121,33 @@
                 targetMs: 250,
                 advice: { decideMs: 26, perWorkerMs: 0.364, validMs: VALID_MS },
             }),
-            perSecond: 20.2,
+            arrivalsPerSecond: 20.2,
             worth: 0.41,
             steps: 1,
-            width: { mean: 3.1, sigma: 0.8, most: 19 },
-            cpuMillis: { mean: 16_000, sigma: 0.45, most: 47_000 },
-            memoryMib: { mean: 45_000, sigma: 0.6, most: 140_000 },
-            runMs: { mean: 1_000, sigma: 0.5, most: 2_500 },
+            width: { mean: 3.1, sigma: 0.8, max: 19 },
+            cpuMillis: { mean: 16_000, sigma: 0.45, max: 47_000 },
+            memoryMib: { mean: 45_000, sigma: 0.6, max: 140_000 },
+            runMs: { mean: 1_000, sigma: 0.5, max: 2_500 },
             estimateSigma: 0.5,
             gangShare: 0.3,
-            savingShare: 0,
+            checkpointingShare: 0,
             failingShare: 0.05,
             allowedShare: 0.7,
         },
     ],
 };
 
-/** Draws the jobs of a load, in the order in which they come. */
+/** Generates the jobs of a load, in order of arrival. */
 export function pickJobs(profile: LoadProfile, seed: number): readonly LoadJob[] {
     const random = createWarmRandom(seed);
     const arrivals = profile.classes.flatMap(kind =>
-        pickArrivals(kind, profile.lengthMs, random).map(at => ({ kind, at }))
+        pickArrivals(kind, profile.durationMs, random).map(at => ({ kind, at }))
     );
     arrivals.sort((left, right) => left.at - right.at);
     return arrivals.map(({ kind, at }, index) => pickJob(kind, at, index + 1, random));
 }
 
-/** The first draws of neighbouring seeds are much alike. */
+/** Creates a generator past its first draws, which are much alike for neighbouring seeds. */
 function createWarmRandom(seed: number): Random {
     const random = createRandom(seed);
     for (let draw = 0; draw < WARM_UP_DRAWS; draw++) {
@@ -156,14 +156,14 @@
     return random;
 }
 
-function pickArrivals(kind: LoadClass, lengthMs: Millis, random: Random): readonly Millis[] {
-    const { perSecond, burst } = kind;
+function pickArrivals(kind: LoadClass, durationMs: Millis, random: Random): readonly Millis[] {
+    const { arrivalsPerSecond, burst } = kind;
     const times: Millis[] = [];
     let at = 0;
     for (;;) {
         const factor = burst !== undefined && at >= burst.from && at < burst.to ? burst.factor : 1;
-        at += -Math.log(1 - random.pickFraction()) / (perSecond * factor) * 1_000;
-        if (at >= lengthMs) {
+        at += -Math.log(1 - random.pickFraction()) / (arrivalsPerSecond * factor) * 1_000;
+        if (at >= durationMs) {
             return times;
         }
         times.push(at);
@@ -182,7 +182,7 @@
         },
         estimateMs: Math.round(trueMs * Math.exp(kind.estimateSigma * pickNormal(random))),
         isGang: random.pickFraction() < kind.gangShare,
-        savesCheckpoints: random.pickFraction() < kind.savingShare,
+        savesCheckpoints: random.pickFraction() < kind.checkpointingShare,
         after: index === 0 ? [] : [index - 1],
     }));
     const spec = { ...makeSpec(...steps), payload: makeJobId(number) };
@@ -194,9 +194,9 @@
     return { number, kind, at, spec, runMs, worth: kind.worth * Math.min(4, 0.3 + 0.7 * work / meanWork) };
 }
 
-function pickFrom({ mean, sigma, most }: Spread, random: Random): number {
-    // The mean of a logarithmic normal distribution lies above its median.
-    return Math.min(most, mean * Math.exp(sigma * pickNormal(random) - sigma ** 2 / 2));
+function pickFrom({ mean, sigma, max }: Distribution, random: Random): number {
+    // Corrects for the mean of a log-normal distribution, which lies above its median.
+    return Math.min(max, mean * Math.exp(sigma * pickNormal(random) - sigma ** 2 / 2));
 }
 
 function pickNormal(random: Random): number {
--- a/src/test/load/main.ts
+++ b/src/test/load/main.ts
@@ -1,4 +1,4 @@
-/** Plays a load on several seeds: `npm run played-load -- --seed N --runs N`. */
+/** Plays a load with several seeds: `npm run played-load -- --seed N --runs N`. */
 import { parseArgs } from "node:util";
 import { SCARCE_LOAD } from "./load-profile.js";
 import { PlayedLoad } from "./played-load.js";
@@ -16,9 +16,19 @@
 for (let run = 0; run < runs; run++) {
     const { worth, utilization, classes, faults } = await new PlayedLoad(SCARCE_LOAD, seed + run).play();
     sum += worth;
-    const parts = classes.map(({ name, jobs, inTime, late, owed, earned, stops }) =>
-        `${name} ${(earned / owed).toFixed(3)} (${inTime}+${late} of ${jobs}, ${stops} stops)`
-    );
+    const parts = classes.map((
+        {
+            name,
+            jobs,
+            inTime,
+            late,
+            offeredWorth,
+            earnedWorth,
+            preemptions,
+        },
+    ) => `${name} ${
+        (earnedWorth / offeredWorth).toFixed(3)
+    } (${inTime}+${late} of ${jobs}, ${preemptions} stops)`);
     console.log(
         `seed ${seed + run}: worth ${worth.toFixed(3)}, in use ${utilization.toFixed(3)}; ${
             parts.join("; ")
--- a/src/test/load/played-load.ts
+++ b/src/test/load/played-load.ts
@@ -1,4 +1,6 @@
-/** A load played against one leader, in fake time: what callers get, and what it costs. */
+/**
+ * Plays a load against one leader in fake time, and measures what callers get and how many runs are preempted.
+ */
 import type { Millis } from "../../common/clock.js";
 import { RunEnd } from "../../process/jobs/job-events.js";
 import { parseTaskName } from "../../process/jobs/job-spec.js";
@@ -10,60 +12,57 @@
 import { pickJobs } from "./load-profile.js";
 import type { LoadClass, LoadJob, LoadProfile } from "./load-profile.js";
 
-/** Time after the last job in which the rest is still counted. */
+/** Time after the last submission within which ends still count. */
 const DRAIN_MS: Millis = 25_000;
-const LOOK_MS: Millis = 100;
-/** A job is worth something until this many times its objective. */
+const POLL_INTERVAL_MS: Millis = 100;
+/** A job that takes longer than this multiple of its objective is worth nothing. */
 const LATE_FACTOR = 3;
 const LATE_WORTH = 0.2;
 
-/** What callers of one kind of job got. */
+/** Results of one class of jobs. */
 export interface ClassResult {
     readonly name: string;
     jobs: number;
     inTime: number;
     late: number;
-    owed: number;
-    earned: number;
-    /** Runs that were stopped to make room. */
-    stops: number;
-    /** Time from the hand-in to the first start, of jobs that had one. */
+    offeredWorth: number;
+    earnedWorth: number;
+    /** Number of runs that were stopped to free capacity. */
+    preemptions: number;
+    /** Times from submission to the first start, of the jobs that started. */
     readonly startWaits: Millis[];
 }
 
-/** How a load went. */
+/** Result of a played load. */
 export interface LoadResult {
     readonly classes: readonly ClassResult[];
-    /** Share of what was owed that was earned. */
+    /** Earned share of the worth of all submitted jobs. */
     readonly worth: number;
-    /** Mean share of all processors that did work while jobs came. */
+    /** Mean share of all processors in use during the profile's duration. */
     readonly utilization: number;
-    /** What no promise allows. */
+    /** Violations of guarantees. */
     readonly faults: readonly string[];
 }
 
 interface GangRun {
     readonly members: Map<string, string>;
-    begun: boolean;
+    hasStarted: boolean;
 }
 
-/** The load; see the module comment. */
+/** One load on one leader; an instance is played once. */
 export class PlayedLoad {
     private readonly cell = new LeaderCell(0);
     private readonly jobs: readonly LoadJob[];
     private readonly byId = new Map<string, LoadJob>();
     private readonly results = new Map<LoadClass, ClassResult>();
     private readonly gangs = new Map<string, GangRun>();
-    private readonly begun = new Set<number>();
+    private readonly startedJobs = new Set<number>();
     private readonly open = new Set<LoadJob>();
     private readonly advice: DayAdvice;
     private readonly startedAt = new Map<string, { readonly at: Millis; readonly cpuMillis: number; }>();
     private usedCpuMs = 0;
 
-    /**
-     * @param profile - What is handed in, and to what.
-     * @param seed - Of all that is drawn.
-     */
+    /** @param seed - Seed from which the jobs are generated. */
     constructor(private readonly profile: LoadProfile, seed: number) {
         this.jobs = pickJobs(profile, seed);
         this.jobs.forEach(job => this.byId.set(makeJobId(job.number), job));
@@ -73,9 +72,9 @@
                 jobs: 0,
                 inTime: 0,
                 late: 0,
-                owed: 0,
-                earned: 0,
-                stops: 0,
+                offeredWorth: 0,
+                earnedWorth: 0,
+                preemptions: 0,
                 startWaits: [],
             });
         }
@@ -86,7 +85,7 @@
         }
     }
 
-    /** Plays the load. */
+    /** Plays the load until all jobs have ended or {@link DRAIN_MS} after its duration. */
     async play(): Promise<LoadResult> {
         const { clock } = this.cell;
         const leader = await this.cell.startLeader();
@@ -94,14 +93,14 @@
             leader.leader.addCaller(this.advice.buildCaller(`n${node}`, leader.clock));
         }
         await clock.step(1_000);
-        const begin = clock.now();
+        const startTime = clock.now();
         for (const job of this.jobs) {
-            clock.schedule(begin + job.at - clock.now(), () => void this.submit(leader, job));
+            clock.schedule(startTime + job.at - clock.now(), () => void this.submit(leader, job));
         }
-        while (clock.now() - begin < this.profile.lengthMs + DRAIN_MS) {
-            await clock.step(LOOK_MS);
-            this.observeEnds(leader, begin);
-            if (clock.now() - begin >= this.profile.lengthMs && this.open.size === 0) {
+        while (clock.now() - startTime < this.profile.durationMs + DRAIN_MS) {
+            await clock.step(POLL_INTERVAL_MS);
+            this.observeEnds(leader, startTime);
+            if (clock.now() - startTime >= this.profile.durationMs && this.open.size === 0) {
                 break;
             }
         }
@@ -111,7 +110,7 @@
     private async submit({ leader }: TestLeader, job: LoadJob): Promise<void> {
         const result = this.getResult(job);
         result.jobs += 1;
-        result.owed += job.worth;
+        result.offeredWorth += job.worth;
         this.open.add(job);
         const path = `${job.kind.queue.pathPrefix}${makeJobId(job.number)}`;
         const reply = await leader.serve({ kind: "submit", host: HOST, path, spec: job.spec });
@@ -120,8 +119,8 @@
         }
     }
 
-    /** Looks which jobs are over, as their callers do. */
-    private observeEnds({ jobs }: TestLeader, begin: Millis): void {
+    /** Records the jobs that have ended, as a polling caller sees them. */
+    private observeEnds({ jobs }: TestLeader, startTime: Millis): void {
         const now = this.cell.clock.now();
         for (const job of this.open) {
             const found = jobs.get(makeJobId(job.number));
@@ -129,7 +128,7 @@
                 continue;
             }
             this.open.delete(job);
-            const took = now - begin - job.at;
+            const took = now - startTime - job.at;
             const objective = computeObjective(job);
             const result = this.getResult(job);
             if (found.phase !== "completed" || took > objective * LATE_FACTOR) {
@@ -138,22 +137,28 @@
             const isLate = took > objective;
             result.late += isLate ? 1 : 0;
             result.inTime += isLate ? 0 : 1;
-            result.earned += job.worth * (isLate ? LATE_WORTH : 1);
+            result.earnedWorth += job.worth * (isLate ? LATE_WORTH : 1);
         }
     }
 
     private computeResult(): LoadResult {
         const classes = [...this.results.values()];
-        const owed = classes.reduce((sum, result) => sum + result.owed, 0);
-        const earned = classes.reduce((sum, result) => sum + result.earned, 0);
-        const all = this.profile.workers * this.profile.capacity.cpuMillis * this.profile.lengthMs;
-        return { classes, worth: earned / owed, utilization: this.usedCpuMs / all, faults: this.cell.faults };
+        const offeredWorth = classes.reduce((sum, result) => sum + result.offeredWorth, 0);
+        const earnedWorth = classes.reduce((sum, result) => sum + result.earnedWorth, 0);
+        const availableCpuMs = this.profile.workers * this.profile.capacity.cpuMillis *
+            this.profile.durationMs;
+        return {
+            classes,
+            worth: earnedWorth / offeredWorth,
+            utilization: this.usedCpuMs / availableCpuMs,
+            faults: this.cell.faults,
+        };
     }
 
     private getResult({ kind }: LoadJob): ClassResult {
         const result = this.results.get(kind);
         if (result === undefined) {
-            throw new Error(`queue ${kind.queue.name} is not part of the profile`);
+            throw new Error(`queue ${kind.queue.name} is not in the load profile`);
         }
         return result;
     }
@@ -192,7 +197,7 @@
         const found = this.findJob(task);
         const spec = found?.job.spec.steps[found.step];
         if (found === undefined || spec === undefined) {
-            throw new Error(`nobody handed ${task} in`);
+            throw new Error(`task ${task} belongs to no submitted job`);
         }
         const unit = spec.isGang ? `${task.split(".").slice(0, 3).join(".")}` : task;
         const isFailing = hashToFraction(`${unit}#${run}`) < found.job.kind.failingShare;
@@ -211,8 +216,8 @@
             return;
         }
         const { job, step } = found;
-        if (!this.begun.has(job.number)) {
-            this.begun.add(job.number);
+        if (!this.startedJobs.has(job.number)) {
+            this.startedJobs.add(job.number);
             this.getResult(job).startWaits.push(this.cell.clock.now() - 1_000 - job.at);
         }
         const spec = job.spec.steps[step];
@@ -224,24 +229,24 @@
             return;
         }
         const key = `${job.number}.${step}#${run}`;
-        const gang = this.gangs.get(key) ?? { members: new Map<string, string>(), begun: false };
+        const gang = this.gangs.get(key) ?? { members: new Map<string, string>(), hasStarted: false };
         this.gangs.set(key, gang);
         gang.members.set(task, address);
-        if (gang.members.size === spec.taskCount && !gang.begun) {
-            gang.begun = true;
+        if (gang.members.size === spec.taskCount && !gang.hasStarted) {
+            gang.hasStarted = true;
             gang.members.forEach((at, member) => this.cell.getModel(at).startWork(member, run));
         }
     }
 
     private handleEnd(task: string, run: number, end: RunEnd): void {
-        this.countUse(`${task}#${run}`);
+        this.addCpuUse(`${task}#${run}`);
         const found = this.findJob(task);
         if (found === undefined) {
             return;
         }
         const { job, step } = found;
         if (end === RunEnd.stopped) {
-            this.getResult(job).stops += 1;
+            this.getResult(job).preemptions += 1;
         }
         const gang = this.gangs.get(`${job.number}.${step}#${run}`);
         if (gang?.members.delete(task) === true && end !== RunEnd.done) {
@@ -252,9 +257,9 @@
         }
     }
 
-    private countUse(key: string): void {
+    private addCpuUse(key: string): void {
         const started = this.startedAt.get(key);
-        const end = 1_000 + this.profile.lengthMs;
+        const end = 1_000 + this.profile.durationMs;
         if (started !== undefined) {
             const usedMs = Math.min(end, this.cell.clock.now()) - Math.min(end, started.at);
             this.usedCpuMs += usedMs * started.cpuMillis;
--- a/src/test/losses/causes_test.ts
+++ b/src/test/losses/causes_test.ts
@@ -1,4 +1,4 @@
-/** Why a job was late, as the lines of the nodes tell it. */
+/** The main cause of a late job, derived from the log lines of the nodes. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { chooseMainCause, findSpells } from "../../../bench/losses/causes.js";
@@ -34,7 +34,7 @@
 
 const CASES: readonly Case[] = [
     {
-        name: "none for a job in time",
+        name: "none for a job that ended in time",
         entries: [ACCEPTED, makeOrder(50), makeEnd(700, "done"), makeClosed(700)],
         cause: undefined,
     },
@@ -67,7 +67,7 @@
         cause: "failed runs",
     },
     {
-        name: "a lost run where its worker was",
+        name: "a lost run where its worker was lost",
         entries: [
             ACCEPTED,
             makeOrder(50),
@@ -91,7 +91,7 @@
         cause: "no leader",
     },
     {
-        name: "the journal where a new leader read it",
+        name: "the journal where a new leader took long to read it",
         entries: [
             ACCEPTED,
             [100, "leaderState", { storeAway: false }],
@@ -116,7 +116,7 @@
         cause: "leader late",
     },
     {
-        name: "the store where it was away",
+        name: "the store where it was unavailable",
         entries: [
             ACCEPTED,
             [100, "leaderState", { storeAway: false }],
--- a/src/test/model/model-store-path.ts
+++ b/src/test/model/model-store-path.ts
@@ -1,8 +1,8 @@
 /** The path from a modeled VM to the store: calls take the time that their bytes need on the VM's link. */
 import type { Clock, Millis } from "../../common/clock.js";
 import { waitForTimeout } from "../../common/clock.js";
-import type { CallEnd } from "../fakes/call-path.js";
-import type { StoreWay } from "../fakes/fake-store-port.js";
+import type { CallResult } from "../fakes/call-path.js";
+import type { StorePath } from "../fakes/fake-store-port.js";
 import type { ModelVm } from "./model-vm.js";
 
 /** Time in which the store handles a call. */
@@ -13,7 +13,7 @@
 const ENCODED_SIZE = 4 / 3;
 
 /** Delays store calls by the transfer time on the VM's link. */
-export class ModelStorePath implements StoreWay {
+export class ModelStorePath implements StorePath {
     /**
      * @param clock - Clock of the whole model.
      * @param vm - VM of the calling process.
@@ -24,8 +24,8 @@
         effect: () => Promise<Value> | Value,
         timeout: Millis,
         characters: number,
-    ): Promise<CallEnd<Value>> {
-        const answered = new Promise<CallEnd<Value>>(resolve => {
+    ): Promise<CallResult<Value>> {
+        const answered = new Promise<CallResult<Value>>(resolve => {
             this.vm.send(HEADER_BYTES + characters * ENCODED_SIZE, () => {
                 this.clock.schedule(STORE_MS, () => {
                     void Promise.resolve(effect()).then(value => {
@@ -35,7 +35,7 @@
                 });
             });
         });
-        const lost = waitForTimeout(this.vm, timeout).then((): CallEnd<Value> => ({
+        const lost = waitForTimeout(this.vm, timeout).then((): CallResult<Value> => ({
             kind: "unknown",
             message: `no answer within ${timeout} ms`,
         }));
--- a/src/test/node/config-catch-up_test.ts
+++ b/src/test/node/config-catch-up_test.ts
@@ -26,7 +26,7 @@
 
 /** Makes the other end of a link, which handles what is sent to it. */
 function makePeer(handle: (note: NodeNotification) => void): LinkPeer {
-    return { link: { note: handle }, status: undefined } as unknown as LinkPeer;
+    return { link: { notify: handle }, status: undefined } as unknown as LinkPeer;
 }
 
 interface Case {
--- a/src/test/process/entry-gauges_test.ts
+++ b/src/test/process/entry-gauges_test.ts
@@ -1,4 +1,4 @@
-/** Gauges of packing and control cost. */
+/** Gauges of packing and of the entry's own cost. */
 import assert from "node:assert/strict";
 import { it } from "node:test";
 import { EntryGauges } from "../../process/entry-gauges.js";
@@ -19,7 +19,7 @@
     teamUse: {},
 };
 
-it("sends the used share once in an interval, and none of what no worker has", async () => {
+it("sends the used share once per interval, and none for a resource that no worker has", async () => {
     const clock = new FakeClock();
     const metrics = createFakeMetrics();
     const sent: string[] = [];
--- a/src/test/process/entry-settings/entry-settings_test.ts
+++ b/src/test/process/entry-settings/entry-settings_test.ts
@@ -1,4 +1,4 @@
-/** Entry settings: every fault at once, with path and remedy. */
+/** Validation of entry settings: each fault is reported with its path and remedy. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { parseEntrySettings } from "../../../process/entry-settings/index.js";
@@ -33,7 +33,7 @@
             remedy: /IP number/,
         },
         {
-            name: "a store address with a path",
+            name: "a store URL with a path",
             change: { platform: { ...valid.platform, store: "http://127.0.0.1:2400/v1" } },
             path: "platform.store",
             remedy: /without a path/,
@@ -57,13 +57,13 @@
             remedy: /16 to 256/,
         },
         {
-            name: "every interface without an address for others",
+            name: "a wildcard address without an advertised one",
             change: { http: { listen: { host: "0.0.0.0", port: 80 } } },
             path: "http.advertise",
             remedy: /http\.advertise\.host/,
         },
         {
-            name: "a limit for the request below the head's",
+            name: "a request timeout below the headers timeout",
             change: { limits: { headersTimeoutMs: 9_000, requestTimeoutMs: 8_000 } },
             path: "limits.requestTimeoutMs",
             remedy: /raise limits\.requestTimeoutMs to 9000/,
@@ -85,7 +85,7 @@
         });
     }
 
-    it("never shows a secret that it refuses", () => {
+    it("never includes a refused secret in a fault", () => {
         const parsed = parseEntrySettings(
             JSON.stringify({ ...valid, peers: { ...valid.peers, secret: "hunter2" } }),
         );
--- a/src/test/process/entry_test.ts
+++ b/src/test/process/entry_test.ts
@@ -1,4 +1,4 @@
-/** The whole path over fakes: a caller's request to a worker and back, for each kind of work. */
+/** End-to-end tests over fakes: a caller's request to a worker and back, for each kind of work. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { HomeReply } from "../../connection/messages.js";
@@ -27,7 +27,7 @@
     );
 }
 
-describe("the whole path", () => {
+describe("end to end", () => {
     it("answers a service request from any entry", async () => {
         const cell = new FakeCell();
         await cell.start();
@@ -52,7 +52,7 @@
         }
     });
 
-    it("runs a non-repeatable request once and gives its repeat the first outcome", async () => {
+    it("runs a non-repeatable request once and answers its repetition with the first outcome", async () => {
         const cell = new FakeCell();
         await cell.start();
         const run = (member: FakeMember) =>
--- a/src/test/process/home/home-cell.ts
+++ b/src/test/process/home/home-cell.ts
@@ -11,7 +11,7 @@
 } from "../../../connection/messages.js";
 import { createHomeRole } from "../../../process/home/index.js";
 import type { HomeOptions } from "../../../process/home/index.js";
-import type { CallResult, HeardDigest, HomeRole, Member, SliceOwner } from "../../../process/roles.js";
+import type { CallResult, HomeRole, Member, ReceivedDigest, SliceOwner } from "../../../process/roles.js";
 import type { JobSpec } from "../../../request/work.js";
 import { StoreModel } from "../../../stand-ins/store-model.js";
 import type { BranchSettings, SettingsVersion } from "../../../version/settings.js";
@@ -156,7 +156,7 @@
     private makePeers(memberId: string, clock: Clock) {
         return {
             call: (to: string, body: CallBody, timeoutMs: number) => this.call(to, body, timeoutMs, clock),
-            note: (to: string, body: NotificationBody) => {
+            notify: (to: string, body: NotificationBody) => {
                 this.clock.schedule(LATENCY_MS, () => this.placers.get(to)?.receiveNotification(body));
                 return this.placers.has(to);
             },
@@ -165,14 +165,14 @@
         };
     }
 
-    private makeDigest(memberId: string): HeardDigest | undefined {
+    private makeDigest(memberId: string): ReceivedDigest | undefined {
         const placer = this.placers.get(memberId);
         if (placer === undefined) {
             return undefined;
         }
         return {
-            heardAt: this.clock.now(),
-            sureAt: this.clock.now(),
+            receivedAt: this.clock.now(),
+            createdAfter: this.clock.now(),
             digest: {
                 kind: "digest",
                 sequence: 1,
--- a/src/test/process/ownership/authority_test.ts
+++ b/src/test/process/ownership/authority_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Authority, isKnownByMajority } from "../../../process/ownership/authority.js";
-import type { HeardDigest } from "../../../process/roles.js";
+import type { ReceivedDigest } from "../../../process/roles.js";
 import { type CellSettings, DEFAULT_CELL } from "../../../version/settings.js";
 import { FakeClock } from "../../fakes/fake-clock.js";
 
@@ -120,15 +120,15 @@
     });
 }
 
-function makeReceivedDigest(peer: Peer | undefined, now: number): HeardDigest | undefined {
+function makeReceivedDigest(peer: Peer | undefined, now: number): ReceivedDigest | undefined {
     if (peer === undefined) {
         return undefined;
     }
     const digest = {
         tableRevision: peer.tableRevision ?? TABLE_REVISION,
         storeContactAgeMs: peer.contactAgeMs ?? now,
-    } as HeardDigest["digest"];
-    return { digest, heardAt: now, sureAt: now - (peer.sureAgeMs ?? 0) };
+    } as ReceivedDigest["digest"];
+    return { digest, receivedAt: now, createdAfter: now - (peer.sureAgeMs ?? 0) };
 }
 
 describe("an entry may act", () => {
@@ -171,10 +171,10 @@
     for (const { revisions, known } of tables) {
         it(`${known ? "" : "not "}with revisions ${revisions.map(each => each ?? "none").join(", ")} beside its own`, () => {
             const names = revisions.map((...[, index]) => `p${index}`);
-            const getDigest = (memberId: string): HeardDigest | undefined => {
+            const getDigest = (memberId: string): ReceivedDigest | undefined => {
                 const tableRevision = revisions[names.indexOf(memberId)];
-                const digest = { tableRevision } as HeardDigest["digest"];
-                return tableRevision === undefined ? undefined : { digest, heardAt: 0, sureAt: 0 };
+                const digest = { tableRevision } as ReceivedDigest["digest"];
+                return tableRevision === undefined ? undefined : { digest, receivedAt: 0, createdAfter: 0 };
             };
             assert.equal(isKnownByMajority(["self", ...names], "self", 5, getDigest), known);
         });
--- a/src/test/process/peers/peer-hub_test.ts
+++ b/src/test/process/peers/peer-hub_test.ts
@@ -1,4 +1,4 @@
-/** Digests, calls and answers between two hubs over the fake network. */
+/** Digests between two hubs over the fake network. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../../common/random.js";
@@ -52,33 +52,33 @@
     return { clock, left, right };
 }
 
-function requireSureAt(hub: OwnedPeerHub, memberId: string): number {
-    const heard = hub.getDigest(memberId);
-    assert.ok(heard !== undefined);
-    return heard.sureAt;
+function requireCreationBound(hub: OwnedPeerHub, memberId: string): number {
+    const received = hub.getDigest(memberId);
+    assert.ok(received !== undefined);
+    return received.createdAfter;
 }
 
 describe("the age of a digest", () => {
-    it("is counted from the digest that it echoes", async () => {
+    it("is counted from the send time of the digest that it echoes", async () => {
         const { clock, left, right } = await makePair();
         const sentAt = clock.now();
         left.hub.publishDigest(makeDigest(1));
         await clock.step(100);
         right.hub.publishDigest(makeDigest(1));
         await clock.step(100);
-        assert.equal(requireSureAt(left.hub, "b"), sentAt);
+        assert.equal(requireCreationBound(left.hub, "b"), sentAt);
     });
 
-    it("is not known before anything was echoed", async () => {
+    it("is unknown until a digest has been echoed", async () => {
         const { clock, left, right } = await makePair();
         right.hub.publishDigest(makeDigest(1));
         await clock.step(100);
-        assert.equal(requireSureAt(left.hub, "b"), Number.NEGATIVE_INFINITY);
+        assert.equal(requireCreationBound(left.hub, "b"), Number.NEGATIVE_INFINITY);
     });
 
-    // An entry is paused for a minute. Digests that its peers sent in the first moments lie in its socket's buffer,
-    // and it reads them when it wakes. Counted from their arrival they would be fresh, and the entry would act on
-    // the word of peers that have long given its slices to others.
+    // An entry is paused for a minute while digests of its peers wait in its socket's buffer. If their age
+    // were counted from when it reads them, they would appear fresh, and the entry would rely on peers that
+    // have long since assigned its slices to others.
     it("does not shrink in a buffer while the receiver is paused", async () => {
         const { clock, left, right } = await makePair();
         const sentAt = clock.now();
@@ -89,7 +89,7 @@
         await clock.step(60_000);
         left.own.resume();
         await clock.step(10);
-        assert.ok((left.hub.getDigest("b")?.heardAt ?? 0) > sentAt + 60_000);
-        assert.equal(requireSureAt(left.hub, "b"), sentAt);
+        assert.ok((left.hub.getDigest("b")?.receivedAt ?? 0) > sentAt + 60_000);
+        assert.equal(requireCreationBound(left.hub, "b"), sentAt);
     });
 });
--- a/src/test/process/replacement_test.ts
+++ b/src/test/process/replacement_test.ts
@@ -1,4 +1,4 @@
-/** Entries that leave, die, freeze or lose the store under work: nothing is lost, doubled or given up needlessly. */
+/** Entries that leave, crash, freeze or lose the store: no task is lost, run twice or abandoned needlessly. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { Caller, JobSpec, JobView } from "../../request/work.js";
@@ -22,7 +22,7 @@
     };
 }
 
-/** Submits jobs, every second one not repeatable, at an entry that stays. */
+/** Submits jobs, every second one not repeatable, to an entry that stays up. */
 async function submitAll(cell: FakeCell, member: FakeMember): Promise<readonly string[]> {
     const jobIds: string[] = [];
     for (let index = 0; index < JOBS; index++) {
@@ -56,7 +56,7 @@
     return jobs;
 }
 
-/** Tasks that ran in two places at once, by the workers' own journals. */
+/** Counts tasks that ran in two places at once, according to the workers' journals. */
 function countOverlaps(cell: FakeCell): number {
     const ends = new Map<string, number>();
     let overlaps = 0;
@@ -69,23 +69,23 @@
     return overlaps;
 }
 
-/** Members and epochs that an entry holds. */
+/** Lists the members, and the owners and epochs of all slices, as one entry knows them. */
 function listOwnership(cell: FakeCell) {
     const { members, workerSlices, homeSlices } = cell.requireMember().entry.operators.getStatus();
     return { members: members.map(({ memberId }) => memberId), workerSlices, homeSlices };
 }
 
-interface Story {
+interface Scenario {
     readonly name: string;
     readonly act: (cell: FakeCell, victim: FakeMember) => Promise<void>;
-    /** Non-repeatable tasks that may end as "may have run". */
+    /** Largest number of non-repeatable tasks that may end as `mayHaveRun`. */
     readonly mayHaveRun: number;
 }
 
-const stories: readonly Story[] = [
+const scenarios: readonly Scenario[] = [
     {
-        // An operator replaces an entry. Its slices go to others; callers see their tasks end as if nothing was.
-        name: "leaves in order",
+        // An operator replaces an entry. Other entries take over its slices, and callers notice nothing.
+        name: "leaves gracefully",
         act: async (cell, victim) => {
             await cell.clock.wait(victim.entry.leave(), LIMIT_MS);
             victim.alive = false;
@@ -93,9 +93,9 @@
         mayHaveRun: 0,
     },
     {
-        // An entry's VM dies with tasks queued at its placer and running on its workers. The others revoke its
-        // lease, attach to its workers, and prove of each waiting task that it did not start.
-        name: "dies",
+        // An entry's VM crashes with tasks queued at its placer and running on its workers. The others revoke
+        // its lease, attach to its workers, and prove for each waiting task that it did not start.
+        name: "crashes",
         act: async (cell, victim) => {
             cell.kill(victim);
             await cell.clock.step(1);
@@ -103,7 +103,8 @@
         mayHaveRun: 0,
     },
     {
-        // An entry is frozen for 40 s and wakes with orders to send, long after others took its slices.
+        // An entry is frozen for 40 s and resumes with orders to send, long after others took over its
+        // slices.
         name: "is paused for 40 s",
         act: async (cell, victim) => {
             victim.clock.pause();
@@ -113,9 +114,10 @@
         mayHaveRun: 0,
     },
     {
-        // The store is out of everybody's reach for a minute and all leases lapse. Entries go on with what they
-        // own; when it returns nobody is removed, and ends that waited are written.
-        name: "loses the store with all others for a minute",
+        // The store is unreachable for all entries for a minute and all leases expire. Entries continue with
+        // the slices that they own. When the store returns, no member is removed, and pending ends of tasks
+        // are written.
+        name: "loses the store for a minute, as do all others",
         act: async cell => {
             const before = listOwnership(cell);
             cell.members.forEach(member => {
@@ -142,17 +144,17 @@
     },
 ];
 
-describe("an entry under work", () => {
-    for (const { name, act, mayHaveRun } of stories) {
+describe("an entry under load", () => {
+    for (const { name, act, mayHaveRun } of scenarios) {
         it(`${name}: every task ends once`, async () => {
             const cell = new FakeCell({ entries: 4, workers: 8, seed: 3 });
             await cell.start();
-            const [victim, witness] = cell.members;
-            assert.ok(victim !== undefined && witness !== undefined);
-            const jobIds = await submitAll(cell, witness);
+            const [victim, survivor] = cell.members;
+            assert.ok(victim !== undefined && survivor !== undefined);
+            const jobIds = await submitAll(cell, survivor);
             await cell.clock.step(1_000);
             await act(cell, victim);
-            const jobs = await waitForEnds(cell, witness, jobIds);
+            const jobs = await waitForEnds(cell, survivor, jobIds);
             const lost = jobs.reduce((sum, job) => sum + job.counts.mayHaveRun, 0);
             const done = jobs.reduce((sum, job) => sum + job.counts.done, 0);
             assert.ok(lost <= mayHaveRun, `${lost} tasks may have run`);
@@ -161,15 +163,15 @@
         });
     }
 
-    // All entries are replaced one after the other, each new one joining before an old one leaves, as operators do
-    // with each release. Callers' jobs must not notice.
+    // A rolling replacement, as operators do with each release: a new entry joins before an old one leaves.
+    // It must not affect callers' jobs.
     it("all are replaced in turn: every task ends once", async () => {
         const cell = new FakeCell({ entries: 3, workers: 8, seed: 5 });
         await cell.start();
         const jobIds = await submitAll(cell, cell.requireMember());
         for (const old of [...cell.members]) {
-            const fresh = cell.addMember();
-            await cell.waitUntil(() => fresh.entry.isReady(), "the new entry is ready");
+            const replacement = cell.addMember();
+            await cell.waitUntil(() => replacement.entry.isReady(), "the new entry is ready");
             await cell.clock.wait(old.entry.leave(), LIMIT_MS);
             old.alive = false;
         }
--- a/src/test/process/sinks/line-buffer_test.ts
+++ b/src/test/process/sinks/line-buffer_test.ts
@@ -1,4 +1,4 @@
-/** The log never waits for its output: it holds a bounded amount and drops the rest. */
+/** The log never waits for its output: it buffers a bounded amount and drops the rest. */
 import assert from "node:assert/strict";
 import { closeSync, openSync, readFileSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -34,9 +34,9 @@
         await flushed;
     });
 
-    it("drops and counts what finds no room, and goes on when the output does", async () => {
-        // The log collector stops reading. Callers would see every request hang if the entry waited for it, and
-        // the entry would run out of memory if it kept all lines.
+    it("drops and counts lines that do not fit, and resumes when the output does", async () => {
+        // The log collector stops reading. If the entry waited for it, all requests would hang; if it kept
+        // all lines, it would run out of memory.
         const { clock, buffer, batches, finishWrite } = openBuffer(10);
         for (const line of ["12345\n", "123\n", "1\n"]) {
             buffer.write(line);
@@ -49,9 +49,10 @@
         assert.deepEqual([batches.at(-1), buffer.takeDropped()], ["again\n", 0]);
     });
 
-    it("writes whole lines in pieces that a pipe takes at once", async () => {
-        // All workers are heard at once and hundreds of decisions follow in one batch. A collector that reads less at a time
-        // broke a line in two and lost the rest, and the request that on-call looked for was in it.
+    it("writes whole lines in chunks that a pipe writes atomically", async () => {
+        // When all workers report at once, hundreds of decisions are logged in one batch. A collector that
+        // read less at a time than one write split a line and lost the rest, including the line that on-call
+        // needed.
         const { clock, buffer, batches, finishWrite } = openBuffer(65_536);
         const lines = Array.from({ length: 100 }, (...[, index]) => `${String(index).padEnd(299, ".")}\n`);
         lines.forEach(line => buffer.write(line));
@@ -63,18 +64,18 @@
         assert.ok(batches.every(batch => batch.length <= 4_096 && batch.endsWith("\n")));
     });
 
-    it("keeps the last quarter for warnings", () => {
+    it("reserves the last quarter for warnings", () => {
         const { buffer } = openBuffer(100);
-        assert.equal(buffer.hasRoomForDecision(), true);
+        assert.equal(buffer.hasCapacityForDecision(), true);
         buffer.write("x".repeat(80));
-        assert.equal(buffer.hasRoomForDecision(), false);
+        assert.equal(buffer.hasCapacityForDecision(), false);
         buffer.write("warning");
         assert.equal(buffer.takeDropped(), 1);
     });
 });
 
 describe("createDescriptorOutput", () => {
-    it("writes all bytes, and gives up on a descriptor that takes none", async () => {
+    it("writes all bytes, and discards them if the descriptor is not writable", async () => {
         const path = join(tmpdir(), `line-buffer-${process.pid}`);
         const descriptor = openSync(path, "w");
         const output = createDescriptorOutput(descriptor, new FakeClock());
--- a/src/test/process/sinks/sinks_test.ts
+++ b/src/test/process/sinks/sinks_test.ts
@@ -1,4 +1,4 @@
-/** What log lines and metric packets look like, and that their faults stay where they are. */
+/** Format of log lines and metric packets, and containment of output errors. */
 import assert from "node:assert/strict";
 import { createSocket } from "node:dgram";
 import { describe, it } from "node:test";
@@ -62,14 +62,14 @@
         });
     }
 
-    it("leaves decisions out when told so", async () => {
+    it("omits decisions if configured so", async () => {
         const { log, lines } = openLog({ logsDecisions: false });
         log.decide(RECORD);
         await log.close();
         assert.deepEqual(lines, []);
     });
 
-    it("says how many lines it dropped", async () => {
+    it("reports how many lines it dropped", async () => {
         const { clock, log, lines } = openLog({ maxBufferedBytes: 300 });
         for (let count = 0; count < 10; count++) {
             log.decide(RECORD);
@@ -85,7 +85,7 @@
 });
 
 describe("createStatsMetrics", () => {
-    it("sends names with prefix and tags, counts summed up", async () => {
+    it("sends names with prefix and tags, with counts aggregated", async () => {
         const server = createSocket("udp4");
         const packets: string[] = [];
         server.on("message", packet => packets.push(...packet.toString().trim().split("\n")));
@@ -111,7 +111,7 @@
         server.close();
     });
 
-    it("takes metrics without a server, and after its end", async () => {
+    it("accepts metrics without a server, and after close", async () => {
         const metrics = createStatsMetrics({ host: "127.0.0.1", port: 1 });
         metrics.count("requests");
         for (let value = 0; value < 500; value++) {
@@ -123,7 +123,7 @@
     });
 });
 
-it("a silent log takes everything", () => {
+it("a silent log accepts everything", () => {
     const log = createSilentLog();
     log.decide(RECORD);
     log.warn("CR1", "event");
--- a/src/test/process/store/store-client-properties_test.ts
+++ b/src/test/process/store/store-client-properties_test.ts
@@ -1,4 +1,4 @@
-/** Properties of the store client under random faults, checked against the history of the store itself. */
+/** Properties of the store client under random faults, checked against the history of the store model. */
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -18,13 +18,13 @@
 const CLIENTS = 3;
 const KEYS = ["p/a", "p/b", "p/c"];
 
-/** One act of a random run. */
-type Act =
+/** One step of a random run. */
+type Step =
     | {
         readonly kind: "write" | "delete";
         readonly client: number;
         readonly key: number;
-        readonly patienceMs: number;
+        readonly limitMs: number;
     }
     | { readonly kind: "outage"; readonly client: number; readonly ms: number; }
     | { readonly kind: "slow"; readonly client: number; readonly slowMs: number; }
@@ -38,9 +38,9 @@
     kind: fc.constantFrom("write" as const, "write" as const, "delete" as const),
     client,
     key,
-    patienceMs: fc.integer({ min: 10, max: 8_000 }),
+    limitMs: fc.integer({ min: 10, max: 8_000 }),
 });
-const act: fc.Arbitrary<Act> = fc.oneof(
+const act: fc.Arbitrary<Step> = fc.oneof(
     { weight: 8, arbitrary: writeAct },
     {
         weight: 1,
@@ -70,23 +70,23 @@
     readonly client: StoreClient;
 }
 
-/** A write and what its client said of it. */
-interface Written {
+/** A write and the result that its client reported. */
+interface ObservedWrite {
     readonly key: string;
     readonly expectedRevision: number;
     readonly value: string | undefined;
     result?: WriteResult;
-    /** Revision of the store when the result was told. */
-    toldAt: number;
+    /** Revision of the store when the result was reported. */
+    reportedAtRevision: number;
 }
 
 class Run {
     readonly clock = new FakeClock();
     readonly store = new StoreModel(this.clock);
-    /** Everything that ever happened in the store, also what it has compacted. */
+    /** All events of the store, including those that it has compacted. */
     readonly history: StoreEvent[] = [];
     readonly participants: Participant[];
-    readonly written: Written[] = [];
+    readonly written: ObservedWrite[] = [];
 
     constructor(faults: Partial<CallPath["faults"]>, seed: number) {
         this.participants = Array.from({ length: CLIENTS }, (...[, index]) => {
@@ -105,7 +105,7 @@
         });
     }
 
-    async apply(step: Act): Promise<void> {
+    async apply(step: Step): Promise<void> {
         await applyHandlers[step.kind](this, step as never);
         this.recordHistory();
     }
@@ -121,7 +121,7 @@
         return participant;
     }
 
-    /** Ends all faults and waits until everything has come to rest. */
+    /** Ends all faults and waits until all calls have ended. */
     async finish(): Promise<void> {
         for (const { clock, path } of this.participants) {
             Object.assign(path.faults, { unreachable: false, slowMs: 0 });
@@ -134,7 +134,7 @@
 }
 
 const applyHandlers: {
-    [Kind in Act["kind"]]: (run: Run, act: Extract<Act, { kind: Kind; }>) => Promise<void>;
+    [Kind in Step["kind"]]: (run: Run, act: Extract<Step, { kind: Kind; }>) => Promise<void>;
 } = {
     write: startWrite,
     delete: startWrite,
@@ -160,38 +160,38 @@
     wait: (run, { ms }) => run.clock.step(ms),
 };
 
-async function startWrite(run: Run, step: Extract<Act, { kind: "write" | "delete"; }>): Promise<void> {
+async function startWrite(run: Run, step: Extract<Step, { kind: "write" | "delete"; }>): Promise<void> {
     const name = KEYS[step.key] ?? "p/a";
     const read = run.store.read(name);
     const expectedRevision = read.kind === "done" ? read.value?.revision ?? 0 : 0;
     const value = step.kind === "delete" && expectedRevision > 0 ? undefined : `value-${run.written.length}`;
-    const written: Written = { key: name, expectedRevision, value, toldAt: 0 };
+    const written: ObservedWrite = { key: name, expectedRevision, value, reportedAtRevision: 0 };
     run.written.push(written);
     const { client: store } = run.getParticipant(step.client);
-    void store.write({ key: name, value, expectedRevision, patienceMs: step.patienceMs }).then(result => {
+    void store.write({ key: name, value, expectedRevision, timeoutMs: step.limitMs }).then(result => {
         written.result = result;
-        written.toldAt = run.store.getRevision();
+        written.reportedAtRevision = run.store.getRevision();
     });
 }
 
-/** Checks what a client said of a write against what happened in the store. */
-function checkWrite(run: Run, written: Written): void {
+/** Checks the reported result of a write against the history of the store. */
+function checkWrite(run: Run, written: ObservedWrite): void {
     const { result, value } = written;
-    assert(result !== undefined, "the write never came to an end");
+    assert(result !== undefined, "the write never ended");
     if (value === undefined) {
         checkDeletion(run, written, result);
         return;
     }
-    const landed = run.history.filter(event => event.key === written.key && getData(event) === value);
-    checkRepeats(run, written, landed);
-    const revision = landed[0]?.revision;
+    const applied = run.history.filter(event => event.key === written.key && getData(event) === value);
+    checkRepeats(run, written, applied);
+    const revision = applied[0]?.revision;
     switch (result.kind) {
         case "done":
-            assert(landed.some(event => event.revision === result.revision));
+            assert(applied.some(event => event.revision === result.revision));
             break;
         case "refused":
         case "unavailable":
-            assert.equal(revision, undefined, `${value} was ${result.kind} but stands in the history`);
+            assert.equal(revision, undefined, `${value} was ${result.kind} but is in the history`);
             break;
         case "superseded":
             assert(revision === undefined || revision !== result.current?.revision);
@@ -205,12 +205,13 @@
 }
 
 /**
- * A write lands once. The one exception is documented (docs/design/store-client.md): a creation whose first try is
- * under way for long lands again if the key has been deleted meanwhile, since the key is then absent again.
+ * Checks that a write is applied once. The one exception is documented in docs/design/store-client.md: a
+ * creation with a delayed first attempt is applied again if the key has been deleted meanwhile, since the key
+ * is then absent again.
  */
-function checkRepeats(run: Run, written: Written, landed: readonly StoreEvent[]): void {
-    landed.slice(1).forEach((event, index) => {
-        const before = landed[index]?.revision ?? 0;
+function checkRepeats(run: Run, written: ObservedWrite, applied: readonly StoreEvent[]): void {
+    applied.slice(1).forEach((event, index) => {
+        const before = applied[index]?.revision ?? 0;
         const deleted = run.history.some(other =>
             other.key === written.key && other.value === undefined &&
             other.revision > before && other.revision < event.revision
@@ -219,13 +220,13 @@
     });
 }
 
-function checkDeletion(run: Run, written: Written, result: WriteResult): void {
+function checkDeletion(run: Run, written: ObservedWrite, result: WriteResult): void {
     const replaced = run.history.some(event =>
         event.key === written.key && event.revision > written.expectedRevision &&
-        event.revision <= written.toldAt
+        event.revision <= written.reportedAtRevision
     );
     if (result.kind === "done") {
-        assert(replaced, "the record still stood when its deletion was told");
+        assert(replaced, "the record still existed when its deletion was reported");
     }
 }
 
@@ -235,7 +236,7 @@
 }
 
 describe("StoreClient under random faults", () => {
-    it("tells the truth of every write", async () => {
+    it("reports a correct result for every write", async () => {
         const runs = fc.asyncProperty(
             fc.array(act, { maxLength: 25 }),
             shares,
@@ -252,7 +253,7 @@
         await fc.assert(runs, { seed: SEED, numRuns: RUNS });
     });
 
-    it("shows every change to watches, in order and once, or all records after a gap", async () => {
+    it("delivers every change to watches in order and once, or all records after a gap", async () => {
         const runs = fc.asyncProperty(
             fc.array(act, { maxLength: 25 }),
             shares,
@@ -271,7 +272,7 @@
     });
 });
 
-/** Follows the prefix and remembers what it was shown. */
+/** Watches the prefix and records what it received. */
 class Watcher {
     private readonly spans: {
         from: number;
@@ -299,16 +300,16 @@
     }
 
     check(history: readonly StoreEvent[]): void {
-        const wanted = new Map<string, string>();
+        const expectedView = new Map<string, string>();
         history.forEach(event => {
             const data = getData(event);
             if (data === undefined) {
-                wanted.delete(event.key);
+                expectedView.delete(event.key);
                 return;
             }
-            wanted.set(event.key, data);
+            expectedView.set(event.key, data);
         });
-        assert.deepEqual([...this.view].sort(), [...wanted].sort());
+        assert.deepEqual([...this.view].sort(), [...expectedView].sort());
         for (const span of this.spans) {
             const end = span.events.at(-1)?.revision ?? span.from;
             const expected = history
--- a/src/test/process/store/store-client_test.ts
+++ b/src/test/process/store/store-client_test.ts
@@ -1,4 +1,4 @@
-/** Every result of the store client is true, and watches miss nothing, whatever strikes its calls. */
+/** The store client reports correct results and its watches miss nothing, whatever faults its calls have. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { createRandom } from "../../../common/random.js";
@@ -19,7 +19,7 @@
 import type { FakeLog } from "../../fakes/fake-telemetry.js";
 import { PausableClock } from "../../fakes/pausable-clock.js";
 
-interface Setup {
+interface StoreClientFixture {
     readonly clock: FakeClock;
     readonly store: StoreModel;
     readonly path: CallPath;
@@ -28,7 +28,7 @@
     readonly log: FakeLog;
 }
 
-function makeClient(): Setup {
+function createFixture(): StoreClientFixture {
     const clock = new FakeClock();
     const store = new StoreModel(clock);
     const path = new CallPath(clock, new PausableClock(clock), { latencyMs: 1, random: createRandom(1) });
@@ -45,7 +45,7 @@
     return { clock, store, path, port, client, log };
 }
 
-const WRITE = { key: "a", value: "mine", expectedRevision: 0, patienceMs: 10_000 };
+const WRITE = { key: "a", value: "mine", expectedRevision: 0, timeoutMs: 10_000 };
 
 describe("StoreClient.write", () => {
     const drop: CallFault = { kind: "dropAnswer" };
@@ -54,7 +54,7 @@
     const cases: {
         name: string;
         faults: CallFault[];
-        patienceMs?: number;
+        limitMs?: number;
         expected: WriteResult["kind"];
         writes: number;
     }[] = [
@@ -62,36 +62,36 @@
         { name: "lost answer", faults: [drop], expected: "done", writes: 1 },
         { name: "lost answer twice", faults: [drop, drop], expected: "done", writes: 1 },
         { name: "lost request", faults: [{ kind: "dropRequest" }], expected: "done", writes: 1 },
-        { name: "first try arrives after the second", faults: [late], expected: "done", writes: 1 },
+        { name: "first attempt arrives after the second", faults: [late], expected: "done", writes: 1 },
         { name: "connection refused twice", faults: [refused, refused], expected: "done", writes: 1 },
         {
-            name: "never reached",
+            name: "store never reached",
             faults: Array<CallFault>(20).fill(refused),
-            patienceMs: 500,
+            limitMs: 500,
             expected: "unavailable",
             writes: 0,
         },
         {
-            name: "lost answer and no patience",
+            name: "lost answer and a short time limit",
             faults: [drop],
-            patienceMs: 500,
+            limitMs: 500,
             expected: "unknown",
             writes: 1,
         },
         {
-            name: "lost answer, then out of reach",
+            name: "lost answer, then store unreachable",
             faults: [drop, ...Array<CallFault>(20).fill(refused)],
-            patienceMs: 3_000,
+            limitMs: 3_000,
             expected: "unknown",
             writes: 1,
         },
     ];
-    for (const { name, faults, patienceMs, expected, writes } of cases) {
+    for (const { name, faults, limitMs, expected, writes } of cases) {
         it(`${name}: ${expected}`, async () => {
-            const { clock, path, client, store } = makeClient();
+            const { clock, path, client, store } = createFixture();
             path.plan(...faults);
             const result = await clock.wait(
-                client.write({ ...WRITE, patienceMs: patienceMs ?? WRITE.patienceMs }),
+                client.write({ ...WRITE, timeoutMs: limitMs ?? WRITE.timeoutMs }),
                 20_000,
             );
             await clock.step(20_000);
@@ -100,17 +100,17 @@
         });
     }
 
-    it("tells what stands there when refused, without its envelope", async () => {
-        const { clock, client, store } = makeClient();
+    it("returns the current record when refused, without its envelope", async () => {
+        const { clock, client, store } = createFixture();
         store.putDirectly("a", encodeEnvelope("other", "theirs"));
         const result = await clock.wait(client.write(WRITE), 100);
         assert.deepEqual(result, { kind: "refused", current: { key: "a", value: "theirs", revision: 1 } });
     });
 
-    it("says superseded when its own record may have stood there in between", async () => {
-        // A caller sees: its edit neither confirmed nor refused. Order: the write takes effect, its answer is lost,
-        // another member replaces the record, the retry finds that record. Cause: a lost answer.
-        const { clock, path, client, store } = makeClient();
+    it("reports superseded when its own record may have been stored in between", async () => {
+        // The write is applied but its answer is lost; another member replaces the record, and the retry
+        // finds that one. The caller's write must be reported neither as done nor as refused.
+        const { clock, path, client, store } = createFixture();
         path.plan({ kind: "dropAnswer" });
         const writing = client.write(WRITE);
         await clock.step(500);
@@ -118,8 +118,8 @@
         assert.equal((await clock.wait(writing, 10_000)).kind, "superseded");
     });
 
-    it("settles a deletion whose answer was lost", async () => {
-        const { clock, path, client } = makeClient();
+    it("resolves a deletion whose answer was lost", async () => {
+        const { clock, path, client } = createFixture();
         const created = await clock.wait(client.write(WRITE), 100);
         assert(created.kind === "done");
         path.plan({ kind: "dropAnswer" });
@@ -128,12 +128,12 @@
         assert.deepEqual(await clock.wait(client.read("a", 100), 100), { kind: "done", value: undefined });
     });
 
-    it("keeps to its budget, which vital writes pass", async () => {
-        const { clock, client, store } = makeClient();
+    it("keeps to its budget, which vital writes bypass", async () => {
+        const { clock, client, store } = createFixture();
         client.setBudget(2, 100);
         const results = Array.from(
             { length: 20 },
-            (...[, index]) => client.write({ ...WRITE, key: `k${index}`, patienceMs: 3_000 }),
+            (...[, index]) => client.write({ ...WRITE, key: `k${index}`, timeoutMs: 3_000 }),
         );
         const vital = client.write({ ...WRITE, key: "vital", vital: true });
         assert.equal((await clock.wait(vital, 10)).kind, "done");
@@ -146,11 +146,11 @@
     });
 
     it("reaches a store that answers after 5 s", async () => {
-        // A caller sees: an acceptance that takes long but comes. Order: each call takes effect after 2.5 s and its
-        // answer comes after 5 s. Cause: a slow store; with a fixed timeout no answer would ever be heard.
-        const { clock, path, client } = makeClient();
+        // The store is slow: each call is applied after 2.5 s and answered after 5 s. With a fixed timeout no
+        // answer would ever arrive in time; the write must succeed, if slowly.
+        const { clock, path, client } = createFixture();
         path.faults.slowMs = 2_500;
-        const result = await clock.wait(client.write({ ...WRITE, patienceMs: 60_000 }), 60_000);
+        const result = await clock.wait(client.write({ ...WRITE, timeoutMs: 60_000 }), 60_000);
         assert.equal(result.kind, "done");
     });
 });
@@ -162,8 +162,8 @@
         { name: "a record of a newer program", text: '{"format":2,"body":7}', code: NEWER_RECORD_CODE },
     ];
     for (const { name, text, code } of refusals) {
-        it(`refuses ${name} aloud, in reads, listings, watches and conflicts`, async () => {
-            const { clock, client, store, log } = makeClient();
+        it(`rejects ${name} with a warning, in reads, listings, watches and conflicts`, async () => {
+            const { clock, client, store, log } = createFixture();
             store.putDirectly("a/1", text);
             const read = await clock.wait(client.read("a/1", 500), 500);
             const listed = await clock.wait(client.list("a/", 500), 500);
@@ -189,24 +189,24 @@
         });
     }
 
-    it("recognises a stale read and asks until it is fresh", async () => {
-        // A member sees: its own write gone. Order: it writes, then reads from a copy of the store that lags.
-        // Cause: the platform may serve reads from copies.
-        const { clock, client, port, store } = makeClient();
+    it("detects a stale read and retries until it is fresh", async () => {
+        // The platform may serve reads from replicas. A member writes, then reads from a lagging replica, and
+        // must not find its own write missing.
+        const { clock, client, port, store } = createFixture();
         await clock.wait(client.write(WRITE), 100);
         let listings = 0;
         port.read = () => Promise.resolve({ kind: "done", value: undefined });
-        const honest = port.list.bind(port);
+        const listFresh = port.list.bind(port);
         const stale: StoreListing = { records: [], revision: 0 };
         port.list = (prefix, timeout) =>
-            ++listings < 3 ? Promise.resolve({ kind: "done", value: stale }) : honest(prefix, timeout);
+            ++listings < 3 ? Promise.resolve({ kind: "done", value: stale }) : listFresh(prefix, timeout);
         const read = await clock.wait(client.read("a", 5_000), 5_000);
         assert(read.kind === "done");
         assert.equal(read.value?.revision, store.getRevision());
     });
 
-    it("gives up at its deadline when the store is down", async () => {
-        const { clock, client, path } = makeClient();
+    it("ends at its deadline when the store is down", async () => {
+        const { clock, client, path } = createFixture();
         path.faults.unreachable = true;
         assert.equal((await clock.wait(client.read("a", 3_000), 3_000)).kind, "unavailable");
         assert.equal(client.getLastContact(), undefined);
@@ -214,8 +214,8 @@
 });
 
 describe("StoreClient leases", () => {
-    it("tells a lapsed lease from a store out of reach", async () => {
-        const { clock, client, path } = makeClient();
+    it("distinguishes a lapsed lease from an unreachable store", async () => {
+        const { clock, client, path } = createFixture();
         const lease = await clock.wait(client.grantLease(1_000, 100), 100);
         assert(lease.kind === "done");
         assert.equal(await clock.wait(client.renewLease(lease.value, 100), 100), "done");
@@ -226,8 +226,8 @@
         assert.equal(await clock.wait(client.renewLease(lease.value, 100), 100), "lapsed");
     });
 
-    it("counts contact from the sending of the answered call", async () => {
-        const { clock, client, path } = makeClient();
+    it("counts the last contact from when the answered call was sent", async () => {
+        const { clock, client, path } = createFixture();
         path.faults.slowMs = 100;
         const sentAt = clock.now();
         await clock.wait(client.grantLease(1_000, 900), 900);
--- a/src/test/process/tree/rules_test.ts
+++ b/src/test/process/tree/rules_test.ts
@@ -1,19 +1,23 @@
-/** The two rules of the settings in force, case by case. */
+/** Rules for settings in force: when an entry may act on its version, and when a version is confirmed. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import type { HeardDigest } from "../../../process/roles.js";
+import type { ReceivedDigest } from "../../../process/roles.js";
 import { Confirmation } from "../../../process/tree/confirmation.js";
-import { type CurrencyState, isVersionCurrent } from "../../../process/tree/currency.js";
+import { type FreshnessState, isVersionCurrent } from "../../../process/tree/version-freshness.js";
 
 const FRESH_MS = 3_000;
 const NOW = 10_000;
 
-function makeDigest(treeVersion: number, ageMs: number): HeardDigest {
-    return { digest: { treeVersion } as HeardDigest["digest"], heardAt: NOW - ageMs, sureAt: NOW - ageMs };
+function makeDigest(treeVersion: number, ageMs: number): ReceivedDigest {
+    return {
+        digest: { treeVersion } as ReceivedDigest["digest"],
+        receivedAt: NOW - ageMs,
+        createdAfter: NOW - ageMs,
+    };
 }
 
 describe("isVersionCurrent", () => {
-    const base: CurrencyState = {
+    const base: FreshnessState = {
         memberId: "a",
         now: NOW,
         freshMs: FRESH_MS,
@@ -23,47 +27,57 @@
         memberIds: ["a", "b", "c", "d"],
         getDigest: () => undefined,
     };
-    const heard = (digests: Readonly<Record<string, HeardDigest>>) => (id: string) => digests[id];
-    const cases: readonly { name: string; change: Partial<CurrencyState>; expected: boolean; }[] = [
-        { name: "nothing heard", change: {}, expected: false },
-        { name: "the store heard", change: { lastStoreContact: NOW - FRESH_MS }, expected: true },
+    const makeDigestLookup = (digests: Readonly<Record<string, ReceivedDigest>>) => (id: string) =>
+        digests[id];
+    const cases: readonly { name: string; change: Partial<FreshnessState>; expected: boolean; }[] = [
+        { name: "no contact", change: {}, expected: false },
+        { name: "recent store contact", change: { lastStoreContact: NOW - FRESH_MS }, expected: true },
         {
-            name: "the store heard too long ago",
+            name: "store contact too long ago",
             change: { lastStoreContact: NOW - FRESH_MS - 1 },
             expected: false,
         },
         {
-            name: "the store heard before membership was confirmed",
+            name: "store contact before membership was confirmed",
             change: { lastStoreContact: NOW, isConfirmedMember: false },
             expected: false,
         },
         {
-            name: "a majority heard",
-            change: { getDigest: heard({ b: makeDigest(5, 0), c: makeDigest(4, FRESH_MS) }) },
+            name: "digests from a majority",
+            change: { getDigest: makeDigestLookup({ b: makeDigest(5, 0), c: makeDigest(4, FRESH_MS) }) },
             expected: true,
         },
         {
-            name: "exactly half heard",
-            change: { getDigest: heard({ b: makeDigest(5, 0) }) },
+            name: "digests from exactly half",
+            change: { getDigest: makeDigestLookup({ b: makeDigest(5, 0) }) },
             expected: false,
         },
         {
-            name: "a majority heard, partly too long ago",
-            change: { getDigest: heard({ b: makeDigest(5, 0), c: makeDigest(5, FRESH_MS + 1) }) },
+            name: "digests from a majority, one of them too old",
+            change: { getDigest: makeDigestLookup({ b: makeDigest(5, 0), c: makeDigest(5, FRESH_MS + 1) }) },
             expected: false,
         },
         {
-            name: "a majority heard, one with a newer version",
-            change: { getDigest: heard({ b: makeDigest(5, 0), c: makeDigest(5, 0), d: makeDigest(6, 0) }) },
+            name: "digests from a majority, one with a newer version",
+            change: {
+                getDigest: makeDigestLookup({
+                    b: makeDigest(5, 0),
+                    c: makeDigest(5, 0),
+                    d: makeDigest(6, 0),
+                }),
+            },
             expected: false,
         },
         {
-            name: "a majority heard by one that is no member",
-            change: { memberId: "x", getDigest: heard({ b: makeDigest(5, 0), c: makeDigest(5, 0) }) },
+            name: "digests from a majority, received by a non-member",
+            change: {
+                memberId: "x",
+                getDigest: makeDigestLookup({ b: makeDigest(5, 0), c: makeDigest(5, 0) }),
+            },
             expected: false,
         },
         {
-            name: "a cell of one that has lost the store",
+            name: "a single-member cell without store contact",
             change: { memberIds: ["a"] },
             expected: true,
         },
@@ -94,7 +108,7 @@
             expectedLater: true,
         },
         {
-            name: "one member silent",
+            name: "one member unconfirmed",
             members: "abc",
             confirmed: "ab",
             expectedAtOnce: false,
@@ -109,7 +123,7 @@
             expectedLater: false,
         },
         {
-            name: "a lost member silent: it may have heard a majority a moment ago",
+            name: "a lost member unconfirmed: it may just have received digests from a majority",
             members: "ab",
             lost: "c",
             confirmed: "ab",
@@ -118,7 +132,7 @@
             expectedLater: true,
         },
         {
-            name: "half of everybody lost and silent",
+            name: "half of all members lost and unconfirmed",
             members: "ab",
             lost: "cd",
             confirmed: "ab",
@@ -126,7 +140,8 @@
             expectedLater: false,
         },
         {
-            name: "a majority of an older table lost and silent, outnumbered by members that joined since",
+            name:
+                "a majority of an older table lost and unconfirmed, outnumbered by members that joined since",
             members: "abxyz",
             lost: "cde",
             confirmed: "abxyz",
--- a/src/test/process/tree/tree-cell.ts
+++ b/src/test/process/tree/tree-cell.ts
@@ -1,9 +1,9 @@
-/** A few tree roles around one store, with faults that a test switches on and off. */
+/** Fixture: several tree roles that share one store, with faults that a test can switch on and off. */
 import { sleep } from "../../../common/clock.js";
 import type { CallBody } from "../../../connection/messages.js";
 import type { TreeEdit } from "../../../process/operator-gateway.js";
 import type { StoreRecord } from "../../../process/ports/store-port.js";
-import type { CallResult, HeardDigest, PeerHub } from "../../../process/roles.js";
+import type { CallResult, PeerHub, ReceivedDigest } from "../../../process/roles.js";
 import type {
     ReadResult,
     StoreClient,
@@ -20,7 +20,7 @@
 const DIGEST_MS = 250;
 const POLL_MS = 1_000;
 
-/** The store's records and the watches of all entries. */
+/** The store: its records, and the watches of all entries. */
 export class SharedStore {
     readonly records = new Map<string, StoreRecord>();
     readonly watches = new Set<EntryStore>();
@@ -43,11 +43,11 @@
     }
 }
 
-/** The store as one entry reaches it. */
+/** Store client of one entry, with faults of its own. */
 export class EntryStore implements StoreClient {
     cut = false;
     watchBroken = false;
-    /** What happens to the answers of the next writes, after they took effect. */
+    /** Faults of the answers of the next writes that are applied. */
     readonly writeFaults: ("lost" | "lostForGood")[] = [];
     writes = 0;
     private listener: WatchListener | undefined;
@@ -63,7 +63,9 @@
         return !this.cut && !this.shared.down;
     }
 
-    /** A waiting watch that is answered once a second also tells that the store is there. */
+    /**
+     * Simulates the held polls of a watch, whose answers once a second also show that the store is reachable.
+     */
     private poll(): void {
         this.clock.schedule(POLL_MS, () => {
             if (this.isReachable() && !this.watchBroken) {
@@ -74,7 +76,7 @@
         });
     }
 
-    private async visit<Value>(act: () => Value): Promise<Value | undefined> {
+    private async runCall<Value>(act: () => Value): Promise<Value | undefined> {
         const sentAt = this.clock.now();
         await sleep(this.clock, 1 + this.shared.slowMs);
         if (!this.isReachable()) {
@@ -85,13 +87,13 @@
     }
 
     async read(key: string): Promise<ReadResult<StoreRecord | undefined>> {
-        const found = await this.visit(() => ({ value: this.shared.records.get(key) }));
+        const found = await this.runCall(() => ({ value: this.shared.records.get(key) }));
         return found === undefined ? { kind: "unavailable", message: "down" } : { kind: "done", ...found };
     }
 
     async write({ key, value, expectedRevision }: StoreWrite): Promise<WriteResult> {
         this.writes++;
-        const result = await this.visit((): WriteResult => {
+        const result = await this.runCall((): WriteResult => {
             const current = this.shared.records.get(key);
             if ((current?.revision ?? 0) !== expectedRevision) {
                 return { kind: "refused", current };
@@ -107,12 +109,12 @@
 
     watch(prefix: string, listener: WatchListener) {
         this.listener = listener;
-        this.replay(prefix);
+        this.replayRecords(prefix);
         return { stop: () => this.shared.watches.delete(this) };
     }
 
-    /** What a watch does after a gap: it lists again. */
-    replay(prefix = "cell/"): void {
+    /** Lists all records again, as a watch does after a gap. */
+    replayRecords(prefix = "cell/"): void {
         if (!this.isReachable()) {
             return;
         }
@@ -160,14 +162,14 @@
     dead: boolean;
 }
 
-/** Entries with their tree roles, a store and links between them. */
+/** A cell of entries with tree roles, a shared store and links between the entries. */
 export class TreeCell {
     readonly clock = new FakeClock();
     readonly store = new SharedStore();
     readonly entries: CellEntry[] = [];
     memberIds: readonly string[];
     lostIds: readonly string[] = [];
-    private readonly digests = new Map<string, HeardDigest>();
+    private readonly digests = new Map<string, ReceivedDigest>();
 
     constructor(count: number) {
         const names = Array.from({ length: count }, (...[, index]) => `e${index}`);
@@ -176,7 +178,7 @@
         names.forEach(name => this.addEntry(name));
     }
 
-    /** Writes a table with these members. */
+    /** Writes an ownership table with these members. */
     setMembers(memberIds: readonly string[], lostIds: readonly string[] = []): void {
         this.memberIds = memberIds;
         this.lostIds = lostIds;
@@ -215,7 +217,7 @@
         return entry;
     }
 
-    /** Crashes an entry: nothing it does reaches anybody any more. */
+    /** Crashes an entry: nothing it does has an effect on others any more. */
     kill(entry: CellEntry): void {
         entry.dead = true;
         entry.store.cut = true;
@@ -227,12 +229,12 @@
             !left.linksCut && !right.linksCut && !left.dead && !right.dead;
     }
 
-    /** Edits through one entry and moves time until it is answered. */
+    /** Makes an edit through one entry and advances the clock until it is answered. */
     edit(entry: CellEntry, edit: TreeEdit) {
         return this.clock.wait(entry.role.editTree(edit), 60_000);
     }
 
-    /** The tree as the store has it. */
+    /** Returns the tree in the store. */
     getStored(): TreeDocument {
         const text = this.store.records.get("cell/tree")?.value;
         return text === undefined ? DEFAULT_TREE : JSON.parse(text) as TreeDocument;
@@ -252,10 +254,10 @@
     }
 
     private sendDigest(from: CellEntry, to: CellEntry): void {
-        const digest = { treeVersion: from.role.getVersion() } as HeardDigest["digest"];
-        const heard = { digest, heardAt: this.clock.now(), sureAt: this.clock.now() };
-        this.digests.set(`${from.memberId}>${to.memberId}`, heard);
-        to.role.receiveDigest(from.memberId, heard);
+        const digest = { treeVersion: from.role.getVersion() } as ReceivedDigest["digest"];
+        const received = { digest, receivedAt: this.clock.now(), createdAfter: this.clock.now() };
+        this.digests.set(`${from.memberId}>${to.memberId}`, received);
+        to.role.receiveDigest(from.memberId, received);
     }
 
     private createHub(memberId: string): PeerHub {
@@ -272,14 +274,14 @@
                 }
                 return { kind: "answer", body: target.role.handleCall(body) };
             },
-            note: () => false,
+            notify: () => false,
             getDigest: from => this.digests.get(`${from}>${memberId}`),
             listReachable: () => this.memberIds,
         };
     }
 }
 
-/** A tree with one branch, as the store's text. */
+/** Returns the stored text of a tree with the branches `batch` and `gang`. */
 export function makeStoredTree(version = 1): string {
     return encodeTree({
         ...DEFAULT_TREE,
--- a/src/test/process/tree/tree-role_test.ts
+++ b/src/test/process/tree/tree-role_test.ts
@@ -1,4 +1,4 @@
-/** The tree role while the store, links and entries fail. */
+/** The tree role under failures of the store, links and entries. */
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
@@ -59,7 +59,7 @@
         assert.equal(cell.get(0).store.writes, 0);
     });
 
-    it("is shown before it is made", async () => {
+    it("is previewed by a dry run that changes nothing", async () => {
         const cell = await makeCell();
         const report = cell.get(0).role.checkEdit(makeEdit("a", "batch", 7));
         assert.deepEqual(report.changedBranches.map(({ path, fields }) => ({ path, fields })), [
@@ -70,8 +70,9 @@
 });
 
 describe("two operators at once", () => {
-    // Two operators edit the same field through two entries in the same moment. Both compare-and-swaps leave from
-    // version 1; the store takes one. The other operator must see both values, not lose the first one's edit.
+    // Two operators edit the same field through two entries at the same time. Both compare-and-swaps are
+    // based on version 1 and the store applies one. The other operator must see both values, not overwrite
+    // the first edit.
     it("see a conflict when they edit the same field", async () => {
         const cell = await makeCell();
         const both = Promise.all([
@@ -93,8 +94,8 @@
         ]);
     });
 
-    // The same, on different branches: both must be accepted, though the second compare-and-swap is refused at
-    // first, and the tree must hold both.
+    // Concurrent edits of different branches: the second compare-and-swap is refused at first, yet both edits
+    // must be accepted and the tree must contain both.
     it("are both accepted when they edit different branches", async () => {
         const cell = await makeCell();
         const both = Promise.all([
@@ -109,9 +110,9 @@
 });
 
 describe("a lost answer", () => {
-    // The store takes the write and its answer is lost. The operator is told that nobody knows, and sends the edit
-    // again, to another entry. The repeat must find the edit done and not make it twice.
-    it("is settled by the edit's id", async () => {
+    // The store applies the write but its answer is lost. The operator gets `uncertain` and sends the edit
+    // again, to another entry. The repeat must find the edit done and not apply it twice.
+    it("is resolved by the edit's id", async () => {
         const cell = await makeCell();
         cell.get(0).store.writeFaults.push("lost");
         const first = await cell.edit(cell.get(0), makeEdit("a", "batch", 7));
@@ -121,9 +122,9 @@
         assert.equal(cell.getStored().version, 2);
     });
 
-    // The accepting entry writes the edit and dies before it answers or tells anybody. Meanwhile another operator
-    // changes the same field on purpose. The first operator's repeat must not undo that.
-    it("does not undo a later edit when the accepting entry died", async () => {
+    // The accepting entry writes the edit and crashes before it answers or notifies anyone. Another operator
+    // then changes the same field. The first operator's repeat must not undo that change.
+    it("does not undo a later edit when the accepting entry crashed", async () => {
         const cell = await makeCell();
         cell.get(0).store.writeFaults.push("lostForGood");
         const unanswered = cell.get(0).role.editTree(makeEdit("a", "batch", 7));
@@ -140,9 +141,9 @@
 });
 
 describe("a broken watch", () => {
-    // The watch of one entry breaks during an edit made elsewhere. The push of the accepting entry must bring the
-    // version there, or the edit would not be in force everywhere within seconds.
-    it("does not keep an edit from coming into force", async () => {
+    // The watch of one entry is broken during an edit made elsewhere. The accepting entry's push must deliver
+    // the version, or the edit would not be in force everywhere within seconds.
+    it("does not prevent an edit from coming into force", async () => {
         const cell = await makeCell();
         cell.get(2).store.watchBroken = true;
         const reply = await cell.edit(cell.get(0), makeEdit("a", "batch", 7));
@@ -150,9 +151,9 @@
         assert.deepEqual(listVersions(cell), [2, 2, 2]);
     });
 
-    // The accepting entry dies right after its write, so nobody is told but those whose watch works; the others
-    // must learn from their digests.
-    it("is bridged by digests when the accepting entry died", async () => {
+    // The accepting entry crashes right after its write, so only entries with a working watch learn of it.
+    // The others must learn of it from digests.
+    it("is compensated by digests when the accepting entry crashed", async () => {
         const cell = await makeCell();
         cell.get(2).store.watchBroken = true;
         cell.store.put(TREE_KEY, makeStoredTree(2));
@@ -161,9 +162,10 @@
     });
 });
 
-describe("an entry that is cut off", () => {
-    // One entry hears neither the store nor its peers, and still runs. An edit must not be called accepted while
-    // that entry may act on the version before; once it surely has stopped, it must.
+describe("a partitioned entry", () => {
+    // One entry still runs but reaches neither the store nor its peers. An edit must not be reported as
+    // accepted while that entry may act on the previous version, and must be once that entry has certainly
+    // stopped acting.
     it("stops acting before an edit is accepted without it", async () => {
         const cell = await makeCell();
         const cut = cell.get(2);
@@ -179,9 +181,10 @@
         assert.equal(cut.role.getVersion(), 1);
     });
 
-    // The cell splits: two entries reach the store, three do not but hear each other, under the old table. Those
-    // three go on by the majority rule, so an edit on the other side must never be called accepted.
-    it("keeps an edit from being accepted while a majority may go on without it", async () => {
+    // The cell is partitioned: two entries reach the store; three reach only each other and use the old
+    // table. Those three continue by the majority rule, so an edit on the other side must never be reported
+    // as accepted.
+    it("prevents an edit from being accepted while a majority may continue without it", async () => {
         const cell = await makeCell(5);
         for (const index of [2, 3, 4]) {
             cell.get(index).store.cut = true;
@@ -197,22 +200,22 @@
         assert.deepEqual(reply.kind === "written" ? reply.missing : [], ["e2", "e3", "e4"]);
     });
 
-    it("acts again once it hears the store", async () => {
+    it("acts again once it reaches the store", async () => {
         const cell = await makeCell();
         cell.get(2).linksCut = true;
         cell.get(2).store.cut = true;
         await cell.clock.step(4_000);
         assert.equal(cell.get(2).role.isCurrent(), false);
         cell.get(2).store.cut = false;
-        cell.get(2).store.replay();
+        cell.get(2).store.replayRecords();
         assert.equal(cell.get(2).role.isCurrent(), true);
     });
 });
 
-describe("a store that fails", () => {
-    // Every answer of the store takes 5 s. The edit takes as long to be written, and must then be in force at
-    // once everywhere: the peers are told by the accepting entry, not by their slow watches.
-    it("slow by 5 s delays an edit and not its coming into force", async () => {
+describe("a failing store", () => {
+    // Every answer of the store takes 5 s, and so does writing the edit. It must then be in force everywhere
+    // at once: the accepting entry pushes it to its peers, which need not wait for their slow watches.
+    it("that answers after 5 s delays an edit but not its coming into force", async () => {
         const cell = await makeCell();
         cell.store.slowMs = 5_000;
         const edited = cell.get(0).role.editTree(makeEdit("a", "batch", 7));
@@ -221,9 +224,9 @@
         assert.equal(getVersion(await cell.clock.wait(edited, 20_000)), 2);
     });
 
-    // The store is down for ten minutes. Entries that hear each other go on; an edit is surely not made, and the
-    // operator is told so, with when to come back.
-    it("down lets entries that hear each other go on, and refuses edits", async () => {
+    // The store is down for ten minutes. Entries that reach each other continue; an edit is certainly not
+    // made, and the reply says so, with a time to retry after.
+    it("that is down lets connected entries continue, and edits are refused", async () => {
         const cell = await makeCell();
         cell.store.down = true;
         await cell.clock.step(600_000);
@@ -243,7 +246,7 @@
         { name: "no record at all", text: undefined, code: "CR1202" },
     ];
     for (const { name, text, code } of badRecords) {
-        it(`with ${name} leaves the version in force and says so`, async () => {
+        it(`with ${name} leaves the version in force and logs an error`, async () => {
             const cell = await makeCell();
             await cell.edit(cell.get(0), makeEdit("a", "batch", 7));
             cell.store.put(TREE_KEY, text);
@@ -253,7 +256,7 @@
         });
     }
 
-    it("with an older version gets the next edit on top of the one in force", async () => {
+    it("with an older version receives the next edit on top of the version in force", async () => {
         const cell = await makeCell();
         await cell.edit(cell.get(0), makeEdit("a", "batch", 7));
         cell.store.put(TREE_KEY, makeStoredTree(1));
@@ -263,7 +266,7 @@
         assert.deepEqual(listVersions(cell), [3, 3, 3]);
     });
 
-    it("with damaged text refuses edits until it is mended", async () => {
+    it("with damaged text has edits refused until it is repaired", async () => {
         const cell = await makeCell();
         cell.store.put(TREE_KEY, "damaged");
         assert.equal((await cell.edit(cell.get(0), makeEdit("a", "batch", 7))).kind, "invalid");
@@ -272,9 +275,9 @@
 });
 
 describe("membership", () => {
-    // An entry reads the tree, an edit is accepted by the members, and only then it joins. Nobody waited for its
-    // word, so it must not act before it has read the tree again.
-    it("counts only after the tree was read as a member", async () => {
+    // An entry reads the tree, the members accept an edit, and only then the entry joins. The edit did not
+    // wait for its confirmation, so it must not act before it has read the tree again.
+    it("counts only after the tree has been read as a member", async () => {
         const cell = await makeCell(2);
         const late = cell.addEntry("late");
         late.store.watchBroken = true;
@@ -320,7 +323,7 @@
         fc.record({ kind: fc.constant("wait" as const), ms: fc.integer({ min: 1, max: 5_000 }) }),
     );
 
-    /** Applies one step; edits run on while later steps happen. */
+    /** Applies one step; edits continue during later steps. */
     function applyStep(cell: TreeCell, current: Step, index: number, edits: Promise<EditReply>[]): void {
         if (current.kind === "edit") {
             const { role } = cell.get(current.entry);
@@ -343,9 +346,10 @@
         }
     }
 
-    // Any mix of edits, lost answers, cut links and stores. No entry's version ever falls, no two entries hold
-    // different trees of one version, and an accepted edit is in the tree for good and on all entries that act.
-    it("versions never fall and accepted edits stay", async () => {
+    // Under any mix of edits, lost answers, cut links and store outages, no entry's version ever decreases,
+    // no two entries have different trees of one version, and an accepted edit stays in the tree and on all
+    // acting entries.
+    it("versions never decrease and accepted edits stay", async () => {
         await fc.assert(
             fc.asyncProperty(fc.array(step, { minLength: 3, maxLength: 25 }), async steps => {
                 const cell = await makeCell();
--- a/src/test/random-days.ts
+++ b/src/test/random-days.ts
@@ -1,6 +1,6 @@
 /**
- * More random days of leaders than the tests have: `npm run random-days -- --seed N --runs N`.
- * A failure prints the command that repeats it.
+ * Random days of a leader in larger numbers than in the tests: `npm run random-days -- --seed N --runs N`.
+ * A failure prints the command that replays it.
  */
 import { parseArgs } from "node:util";
 import { chooseDayOptions, RandomDay } from "./leader/random-day.js";
--- a/src/test/request/http/admin-routes_test.ts
+++ b/src/test/request/http/admin-routes_test.ts
@@ -1,4 +1,4 @@
-/** Operators' routes over a scripted entry. */
+/** Routes for operators, with a scripted entry behind them. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { EditReply } from "../../../process/operator-gateway.js";
@@ -23,7 +23,7 @@
         assert.equal((await send("GET", "/v1/admin/tree/history?limit=0", { token })).status, 400);
     });
 
-    it("is not there before it was read", async () => {
+    it("is unavailable until it has been read", async () => {
         const { send, operators } = await openHttp();
         operators.tree = undefined;
         const reply = await send("GET", "/v1/admin/tree", { token });
@@ -58,14 +58,14 @@
         });
     }
 
-    it("is edited under the name that the token has, and under no other", async () => {
+    it("is edited only under the name of the token's operator", async () => {
         const { send, operators } = await openHttp();
         const body = JSON.stringify({ ...EDIT, author: "bruno" });
         const reply = await send("POST", "/v1/admin/tree/edits", { token, body });
         assert.deepEqual([reply.status, operators.edits.length], [400, 0]);
     });
 
-    it("removes a value by leaving it out", async () => {
+    it("removes a value that a change omits", async () => {
         const { send, operators } = await openHttp();
         const changes = [{ path: "", field: "weight" }];
         await send("POST", "/v1/admin/tree/check", { token, body: JSON.stringify({ ...EDIT, changes }) });
@@ -74,7 +74,7 @@
 
     const faulty = [
         { name: "no changes", body: { ...EDIT, changes: [] }, path: "changes" },
-        { name: "a version that is none", body: { ...EDIT, baseVersion: "7" }, path: "baseVersion" },
+        { name: "an invalid version", body: { ...EDIT, baseVersion: "7" }, path: "baseVersion" },
         { name: "an unknown field", body: { ...EDIT, force: true }, path: "force" },
         {
             name: "a change without a field",
--- a/src/test/request/http/caller-routes_test.ts
+++ b/src/test/request/http/caller-routes_test.ts
@@ -1,4 +1,4 @@
-/** Callers' routes: tokens, checks of input, and the answer for each outcome. */
+/** Routes for callers: tokens, validation of input, and the answer for each outcome. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { NotRunReason } from "../../../common/outcome.js";
@@ -46,17 +46,20 @@
         assert.deepEqual(seen, [200, 404, 200]);
     });
 
-    it("tells callers of one team apart", async () => {
+    it("distinguishes the callers of one team", async () => {
         const { send, gateway } = await openHttp();
         for (const id of ["parish-7", "not valid"]) {
             await send("POST", SERVICE, { headers: { "x-caller-id": id } });
         }
-        assert.deepEqual(gateway.served.map(({ caller }) => caller.callerId), ["verona/parish-7", "verona"]);
+        assert.deepEqual(gateway.serviceRequests.map(({ caller }) => caller.callerId), [
+            "verona/parish-7",
+            "verona",
+        ]);
     });
 });
 
 describe("service requests", () => {
-    it("pass on what the caller said", async () => {
+    it("forward the caller's headers and body", async () => {
         const { send, gateway } = await openHttp();
         const headers = {
             "x-request-id": "visit-1",
@@ -69,7 +72,7 @@
         assert.deepEqual([reply.status, reply.text], [200, "ORARI"]);
         assert.equal(reply.headers.get("x-worker-id"), "w1");
         assert.match(reply.headers.get("x-request-id") ?? "", /^visit-1\./);
-        const [request] = gateway.served;
+        const [request] = gateway.serviceRequests;
         assert.deepEqual(
             [request?.branch, request?.repeatable, request?.idempotencyKey, request?.contentType],
             ["services/catalogo-beni", true, "k1", "text/plain"],
@@ -79,10 +82,10 @@
     it("count as not repeatable unless the caller says otherwise", async () => {
         const { send, gateway } = await openHttp();
         await send("POST", SERVICE);
-        assert.equal(gateway.served[0]?.repeatable, false);
+        assert.equal(gateway.serviceRequests[0]?.repeatable, false);
     });
 
-    it("name all faulty headers at once", async () => {
+    it("report all faulty headers together", async () => {
         const { send, gateway } = await openHttp();
         const headers = { "x-deadline-ms": "-5", "x-repeatable": "maybe", "idempotency-key": "two words" };
         const reply = await send("POST", SERVICE, { headers });
@@ -93,10 +96,10 @@
             ["idempotency-key", "two words"],
             ["x-repeatable", "maybe"],
         ]);
-        assert.equal(gateway.served.length, 0);
+        assert.equal(gateway.serviceRequests.length, 0);
     });
 
-    it("are not found for a branch that is none of a service", async () => {
+    it("are not found for a branch of another kind", async () => {
         const { send } = await openHttp();
         assert.equal((await send("POST", "/v1/services/batch/season-rebuild")).status, 404);
     });
@@ -125,7 +128,7 @@
         });
     }
 
-    it("are refused before their body is read while the entry takes no work", async () => {
+    it("are refused before their body is read while the entry accepts no work", async () => {
         const { send, gateway } = await openHttp();
         gateway.refusal = { kind: "notRun", reason: "settingsUncertain", remedy: "r", retryAfterMs: 500 };
         const replies = [
@@ -139,20 +142,20 @@
 });
 
 describe("jobs", () => {
-    it("are accepted with their place, filled from the branch", async () => {
+    it("are accepted with their location, with defaults from the branch", async () => {
         const { send, gateway } = await openHttp();
         const reply = await send("POST", "/v1/jobs", {
             body: JSON.stringify({ kind: "gang", branch: "gang/river-reach" }),
         });
         assert.equal(reply.status, 202);
         assert.equal(reply.headers.get("location"), `/v1/jobs/${String(reply.json()["jobId"])}`);
-        const [request] = gateway.asked;
+        const [request] = gateway.homeRequests;
         const spec = request?.kind === "submitJob" ? request.spec : undefined;
         assert.deepEqual([spec?.tasks, spec?.repeatable, spec?.urgent], [1, false, false]);
         assert.equal(spec?.resources.cpuMillis, 1_000);
     });
 
-    it("sent again with the same key are the same job", async () => {
+    it("submitted again with the same key are the same job", async () => {
         const { send } = await openHttp();
         const init = { body: JSON.stringify(JOB), headers: { "idempotency-key": "season-1" } };
         const replies = [await send("POST", "/v1/jobs", init), await send("POST", "/v1/jobs", init)];
@@ -161,9 +164,9 @@
     });
 
     const faulty = [
-        { name: "no JSON", body: "{", paths: ["body"] },
-        { name: "no UTF-8", body: Buffer.from([0x22, 0xff, 0x22]), paths: ["body"] },
-        { name: "no object", body: "[]", paths: ["body"] },
+        { name: "invalid JSON", body: "{", paths: ["body"] },
+        { name: "invalid UTF-8", body: Buffer.from([0x22, 0xff, 0x22]), paths: ["body"] },
+        { name: "an array in place of an object", body: "[]", paths: ["body"] },
         {
             name: "three faults",
             body: JSON.stringify({
@@ -198,7 +201,7 @@
                 assert.deepEqual(Object.keys(fault), ["path", "found", "allowed", "remedy"]);
                 assert.ok(Object.values(fault).every(text => text.length > 0 && text.length < 250));
             }
-            assert.equal(gateway.asked.length, 0);
+            assert.equal(gateway.homeRequests.length, 0);
         });
     }
 
@@ -217,9 +220,9 @@
         },
     ];
     for (const { reply, status, kind, ran } of replies) {
-        it(`get ${status} when their owner says ${reply.kind}`, async () => {
+        it(`get ${status} when their owner replies ${reply.kind}`, async () => {
             const { send, gateway } = await openHttp();
-            gateway.answer = () => reply;
+            gateway.answerHome = () => reply;
             const answer = await send("POST", "/v1/jobs", { body: JSON.stringify(JOB) });
             assert.deepEqual([answer.status, answer.json()["kind"], answer.json()["ran"]], [
                 status,
@@ -237,7 +240,7 @@
         await send("GET", `${path}?waitMs=500`);
         await send("POST", `${path}/cancel`);
         const explained = await send("GET", `${path}/explain`);
-        assert.deepEqual(gateway.asked.map(({ kind }) => kind), [
+        assert.deepEqual(gateway.homeRequests.map(({ kind }) => kind), [
             "submitJob",
             "waitJob",
             "cancelJob",
--- a/src/test/request/http/openapi_test.ts
+++ b/src/test/request/http/openapi_test.ts
@@ -1,4 +1,4 @@
-/** docs/openapi.json says what the routes do. */
+/** docs/openapi.json matches the routes. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
@@ -40,7 +40,7 @@
 }
 
 describe("docs/openapi.json", () => {
-    it("has each route and no other", () => {
+    it("documents exactly the existing routes", () => {
         const documented = Object.entries(paths).flatMap(([path, operations]) =>
             Object.keys(operations).map(method => `${method.toUpperCase()} ${path}`)
         );
@@ -58,14 +58,14 @@
         });
     }
 
-    it("lists every status of work that was not run", () => {
+    it("lists every status of work that did not run", () => {
         const listed = Object.keys(getOperation("POST", "/v1/services/*")?.responses ?? {});
         for (const status of new Set(Object.values(NOT_RUN_STATUS))) {
             assert.ok(listed.includes(String(status)), String(status));
         }
     });
 
-    it("gives the limits that are in force by default", () => {
+    it("states the default limits", () => {
         const findMaximum = (method: string, path: string, name: string) =>
             getOperation(method, path)?.parameters.find(parameter => parameter.name === name)?.schema.maximum;
         const { maxDeadlineMs, maxWaitMs, maxTasks } = DEFAULT_REQUEST_LIMITS;
@@ -74,7 +74,7 @@
         assert.equal(document.components.schemas.JobInput.properties.tasks.maximum, maxTasks);
     });
 
-    it("refers only to what it has", () => {
+    it("refers only to schemas that it defines", () => {
         const known = Object.keys(document.components.schemas).map(name => `#/components/schemas/${name}`);
         for (const reference of listReferences(document)) {
             assert.ok(known.includes(reference), reference);
@@ -87,10 +87,10 @@
             { schema: "Edit", path: "/v1/admin/tree/edits", token: OPERATOR_TOKEN },
         ]
     ) {
-        it(`names the fields of ${schema} that are taken`, async () => {
+        it(`documents only accepted fields of ${schema}, and marks the required ones`, async () => {
             const { send } = await openHttp();
             const { properties, required } = document.components.schemas[schema];
-            // Every documented field with a value of no valid type: none may be called unknown.
+            // Sends every documented field with a value of an invalid type: none may be reported as unknown.
             const body = Object.fromEntries(Object.keys(properties).map(field => [field, { wrong: true }]));
             const reply = await send("POST", path, { token, body: JSON.stringify(body) });
             const faults = reply.json()["faults"] as Record<string, string>[];
--- a/src/test/soak/soak-checker_test.ts
+++ b/src/test/soak/soak-checker_test.ts
@@ -1,4 +1,4 @@
-/** The soak's checker notices each kind of broken promise, and nothing where all is well. */
+/** The soak's checker reports each kind of violated guarantee, and nothing where all are kept. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SoakChecker } from "../../../bench/soak/checker.js";
@@ -9,34 +9,34 @@
 import type { Resources } from "../../common/resources.js";
 import { FakeClock } from "../fakes/fake-clock.js";
 
-const ROOM: Resources = { cpuMillis: 4_000, memoryMib: 8_192, accelerators: 0 };
+const CAPACITY: Resources = { cpuMillis: 4_000, memoryMib: 8_192, accelerators: 0 };
 
-/** A checker with helpers in the words of the cases. */
-class Scene {
+/** A checker with helpers for the test cases. */
+class CheckerFixture {
     readonly clock = new FakeClock();
     readonly jobs = new JobSource(createRandom(1));
     readonly checker = new SoakChecker(this.clock, this.jobs);
 
-    /** Makes jobs until one has the shape. */
-    makeJob(fits: (job: SoakJob) => boolean): SoakJob {
+    /** Makes jobs until one matches, and returns it. */
+    makeJob(matches: (job: SoakJob) => boolean): SoakJob {
         for (;;) {
             const job = this.jobs.makeJob();
-            if (fits(job)) {
+            if (matches(job)) {
                 return job;
             }
         }
     }
 
-    start(job: SoakJob, step: number, index: number, workerId = "w1", used = ROOM): void {
+    start(job: SoakJob, step: number, index: number, workerId = "w1", used = CAPACITY): void {
         const task = `${job.id}.0.${step}.${index}`;
-        this.checker.observeStart(workerId, task, job.spec.payload, used, ROOM);
+        this.checker.observeStart(workerId, task, job.spec.payload, used, CAPACITY);
     }
 
     end(job: SoakJob, step: number, index: number, workerId = "w1"): void {
         this.checker.observeEnd(workerId, `${job.id}.0.${step}.${index}`, "done");
     }
 
-    /** Runs all of a job as it should be. */
+    /** Starts and ends all tasks of a job in the right order. */
     runAll(job: SoakJob): void {
         job.spec.steps.forEach((step, number) => {
             for (let index = 0; index < step.taskCount; index++) {
@@ -54,162 +54,164 @@
 describe("SoakChecker", () => {
     const cases: {
         name: string;
-        play: (scene: Scene) => Promise<void> | void;
+        play: (fixture: CheckerFixture) => Promise<void> | void;
         found: readonly SoakPromise[];
     }[] = [
         {
             name: "finds nothing where a job is accepted, runs and ends",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "accepted");
-                scene.runAll(job);
-                scene.checker.observeState(job.id, "completed");
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "accepted");
+                fixture.runAll(job);
+                fixture.checker.observeState(job.id, "completed");
             },
             found: [],
         },
         {
-            name: "finds a worker with more than it can hold",
-            play: scene => scene.start(scene.makeJob(isPlain), 0, 0, "w1", { ...ROOM, cpuMillis: 4_001 }),
+            name: "finds a worker that uses more than its capacity",
+            play: fixture =>
+                fixture.start(fixture.makeJob(isPlain), 0, 0, "w1", { ...CAPACITY, cpuMillis: 4_001 }),
             found: ["capacity"],
         },
         {
             name: "finds more tasks of a step on a worker than the step allows",
-            play: scene => {
-                const job = scene.makeJob(({ spec: { steps: [first] } }) =>
+            play: fixture => {
+                const job = fixture.makeJob(({ spec: { steps: [first] } }) =>
                     first?.maxPerWorker !== undefined && first.taskCount > first.maxPerWorker
                 );
                 for (let index = 0; index <= (job.spec.steps[0]?.maxPerWorker ?? 0); index++) {
-                    scene.start(job, 0, index);
+                    fixture.start(job, 0, index);
                 }
             },
             found: ["capacity"],
         },
         {
             name: "finds a task in two places",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.start(job, 0, 0, "w1");
-                scene.start(job, 0, 0, "w2");
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.start(job, 0, 0, "w1");
+                fixture.start(job, 0, 0, "w2");
             },
             found: ["onePlace"],
         },
         {
-            name: "finds a start after an end that was durable",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.start(job, 0, 0);
-                scene.end(job, 0, 0);
-                scene.checker.observeAcknowledged(`${job.id}.0.0.0`);
-                scene.start(job, 0, 0, "w2");
+            name: "finds a start after a durable end",
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.start(job, 0, 0);
+                fixture.end(job, 0, 0);
+                fixture.checker.observeAcknowledged(`${job.id}.0.0.0`);
+                fixture.start(job, 0, 0, "w2");
             },
             found: ["neverAgain"],
         },
         {
-            name: "allows a start after an end that nobody took note of",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.start(job, 0, 0);
-                scene.end(job, 0, 0);
-                scene.start(job, 0, 0, "w2");
+            name: "allows a start after an end that was not recorded",
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.start(job, 0, 0);
+                fixture.end(job, 0, 0);
+                fixture.start(job, 0, 0, "w2");
             },
             found: [],
         },
         {
-            name: "finds a step that did not wait",
-            play: scene => scene.start(scene.makeJob(hasSteps), 1, 0),
+            name: "finds a step that did not wait for the step before it",
+            play: fixture => fixture.start(fixture.makeJob(hasSteps), 1, 0),
             found: ["order"],
         },
         {
-            name: "finds a start that nobody asked for",
-            play: scene => scene.checker.observeStart("w1", "ffffffffffffffff.0.0.0", "", ROOM, ROOM),
+            name: "finds a start without a submitted job",
+            play: fixture =>
+                fixture.checker.observeStart("w1", "ffffffffffffffff.0.0.0", "", CAPACITY, CAPACITY),
             found: ["asked"],
         },
         {
             name: "finds a start with another payload",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeStart("w1", `${job.id}.0.0.0`, "something else", ROOM, ROOM);
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeStart("w1", `${job.id}.0.0.0`, "something else", CAPACITY, CAPACITY);
             },
             found: ["asked"],
         },
         {
-            name: "finds a start long after the cancellation",
-            play: async scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeCancelSent(job.id);
-                scene.checker.observeCancelled(job.id);
-                await scene.clock.step(4_001);
-                scene.start(job, 0, 0);
+            name: "finds a start too long after the cancellation",
+            play: async fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeCancelSent(job.id);
+                fixture.checker.observeCancelled(job.id);
+                await fixture.clock.step(4_001);
+                fixture.start(job, 0, 0);
             },
             found: ["asked"],
         },
         {
             name: "finds a refused job that ran",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "refused");
-                scene.start(job, 0, 0);
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "refused");
+                fixture.start(job, 0, 0);
             },
             found: ["trueRefusal"],
         },
         {
-            name: "allows a job to run whose caller heard nothing",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "refused");
-                scene.checker.observeSubmit(job.id, "unknown");
-                scene.start(job, 0, 0);
+            name: "allows a job to run whose caller got no answer",
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "refused");
+                fixture.checker.observeSubmit(job.id, "unknown");
+                fixture.start(job, 0, 0);
             },
             found: [],
         },
         {
             name: "finds a job that is shown as completed too early",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "accepted");
-                scene.checker.observeState(job.id, "completed");
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "accepted");
+                fixture.checker.observeState(job.id, "completed");
             },
             found: ["trueState"],
         },
         {
-            name: "finds a job that is shown as failed without cause",
-            play: scene => scene.checker.observeState(scene.makeJob(isPlain).id, "failed"),
+            name: "finds a job that is shown as failed although no run failed",
+            play: fixture => fixture.checker.observeState(fixture.makeJob(isPlain).id, "failed"),
             found: ["trueState"],
         },
         {
-            name: "finds an end that is taken back",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "accepted");
-                scene.runAll(job);
-                scene.checker.observeState(job.id, "completed");
-                scene.checker.observeState(job.id, "running");
+            name: "finds an ended job that is shown as running again",
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "accepted");
+                fixture.runAll(job);
+                fixture.checker.observeState(job.id, "completed");
+                fixture.checker.observeState(job.id, "running");
             },
             found: ["trueState"],
         },
         {
-            name: "finds an accepted job that nobody knows",
-            play: scene => {
-                const job = scene.makeJob(isPlain);
-                scene.checker.observeSubmit(job.id, "accepted");
-                scene.checker.observeState(job.id, "unknownJob");
-                scene.runAll(job);
-                scene.checker.observeState(job.id, "completed");
+            name: "finds an accepted job that is reported as unknown",
+            play: fixture => {
+                const job = fixture.makeJob(isPlain);
+                fixture.checker.observeSubmit(job.id, "accepted");
+                fixture.checker.observeState(job.id, "unknownJob");
+                fixture.runAll(job);
+                fixture.checker.observeState(job.id, "completed");
             },
             found: ["kept"],
         },
         {
             name: "finds an accepted job that never ends",
-            play: scene => scene.checker.observeSubmit(scene.makeJob(isPlain).id, "accepted"),
+            play: fixture => fixture.checker.observeSubmit(fixture.makeJob(isPlain).id, "accepted"),
             found: ["kept"],
         },
     ];
     for (const { name, play, found } of cases) {
         it(name, async () => {
-            const scene = new Scene();
-            await play(scene);
-            scene.checker.finish();
-            assert.deepEqual(scene.checker.violations.map(({ promise }) => promise), found);
+            const fixture = new CheckerFixture();
+            await play(fixture);
+            fixture.checker.finish();
+            assert.deepEqual(fixture.checker.violations.map(({ promise }) => promise), found);
         });
     }
 });
