--- a/src/test/version/apply-edit_test.ts
+++ b/src/test/version/apply-edit_test.ts
@@ -1,4 +1,4 @@
-/** Edits: merging, conflicts, repeats and the bounds of the history. */
+/** Tests of edits: merging, conflicts, repeats and the limits of the history. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import type { FieldChange, TreeEdit } from "../../process/operator-gateway.js";
@@ -29,7 +29,7 @@
 );
 
 describe("applyEdit", () => {
-    it("merges an edit of another branch made from the same version", () => {
+    it("merges an edit of another branch with the same base version", () => {
         const merged = applyAll(
             base,
             makeEdit("a", 1, { path: "batch", field: "queueLimit", value: 20 }),
@@ -58,7 +58,7 @@
             expected: [{ path: "batch", field: "queueLimit", base: 10, theirs: 20, yours: undefined }],
         },
         {
-            name: "a field that holds the changed one",
+            name: "a field that contains the changed one",
             change: { path: "", field: "teams.verona", value: { weight: 3 } },
             expected: [{
                 path: "",
@@ -70,13 +70,13 @@
         },
     ];
     for (const { name, change, expected } of conflictCases) {
-        it(`shows a conflict for ${name}`, () => {
+        it(`reports a conflict for ${name}`, () => {
             const result = applyEdit(applyAll(base, theirs), makeEdit("b", 1, change), 0);
             assert.deepEqual(result, { kind: "conflict", conflicts: expected });
         });
     }
 
-    it("takes the same value of the same field without a conflict", () => {
+    it("accepts the same value for the same field without a conflict", () => {
         const result = applyEdit(
             applyAll(base, theirs),
             makeEdit("b", 1, { path: "batch", field: "queueLimit", value: 20 }),
@@ -85,7 +85,7 @@
         assert.equal(result.kind, "applied");
     });
 
-    it("recognises a repeat, also after later edits", () => {
+    it("recognizes a repeated edit, even after later edits", () => {
         const later = applyAll(base, theirs, makeEdit("c", 2, { path: "batch", field: "weight", value: 4 }));
         assert.deepEqual(applyEdit(later, theirs, 0), { kind: "repeated", version: 2 });
     });
@@ -98,7 +98,7 @@
         },
         { name: "no change", edit: makeEdit("x", 1), path: /^changes$/ },
         {
-            name: "a version of the future",
+            name: "a base version newer than the tree",
             edit: makeEdit("x", 9, { path: "batch", field: "weight", value: 2 }),
             path: /^baseVersion$/,
         },
@@ -123,7 +123,7 @@
             path: /^batch: queue$/,
         },
         {
-            name: "a value that only contradicts together with others",
+            name: "a value that contradicts another field",
             edit: makeEdit("x", 1, { path: "batch/rebuild", field: "connectionsPerWorker", value: 3 }),
             path: /slotsPerWorker$/,
         },
@@ -145,9 +145,9 @@
         });
     }
 
-    // An operator's edit is applied but the answer is lost; hundreds of edits later a script sends it again.
-    // The tree has forgotten its id by then. Applying it anew would undo what came after.
-    it("never applies a repeat that it has forgotten", () => {
+    // An edit is applied but its answer is lost, and it is sent again after its id has left the history.
+    // Applying it a second time would undo later edits.
+    it("refuses a repeated edit that is no longer in the history", () => {
         const edits = Array.from(
             { length: MAX_HISTORY_EDITS },
             (...[, index]) =>
@@ -166,7 +166,7 @@
 });
 
 describe("compareTrees", () => {
-    it("gives the edit that turns one tree into another", () => {
+    it("returns the changes that turn one tree into another", () => {
         const target = applyAll(
             base,
             makeEdit(
--- a/src/test/version/tree_test.ts
+++ b/src/test/version/tree_test.ts
@@ -1,4 +1,4 @@
-/** The tree: parsing, faults, inheritance and the size it reaches. */
+/** Tests of the settings tree: parsing, faults, inheritance and its maximum size. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { POLICIES } from "../../process/placement/index.js";
@@ -36,9 +36,14 @@
             path: /^format$/,
             remedy: /replace this entry/,
         },
-        { name: "no object at all", text: "[1]", path: /^format$/, remedy: /set "format" to 1/ },
         {
-            name: "an unknown field that is nearly a known one",
+            name: "a document that is not an object",
+            text: "[1]",
+            path: /^format$/,
+            remedy: /set "format" to 1/,
+        },
+        {
+            name: "a misspelled field",
             text: makeTree({ children: { a: { kind: "batch", settings: { queLimit: 4 } } } }),
             path: /^a: queLimit$/,
             remedy: /"queueLimit"/,
@@ -68,7 +73,7 @@
             remedy: /use one of/,
         },
         {
-            name: "a policy of another kind",
+            name: "a policy for another kind of work",
             text: makeTree({
                 settings: { policy: "batch" },
                 children: { a: { kind: "service" } },
@@ -104,7 +109,7 @@
             remedy: /raise the quota to 1000/,
         },
         {
-            name: "a token of two teams",
+            name: "a token shared by two teams",
             text: makeTree({
                 teams: { a: { tokenHashes: ["ab".repeat(32)] }, b: { tokenHashes: ["ab".repeat(32)] } },
             }),
@@ -112,13 +117,13 @@
             remedy: /remove the hash/,
         },
         {
-            name: "digests rarer than freshness allows",
+            name: "a digest interval too long for the freshness period",
             text: makeTree({ cell: { digestMs: 2_000, freshMs: 3_000 } }),
             path: /cell\.freshMs/,
             remedy: /raise cell\.freshMs to 6000/,
         },
         {
-            name: "a lease shorter than freshness",
+            name: "a member lease shorter than the freshness period",
             text: makeTree({ cell: { memberTtlMs: 2_000, freshMs: 3_000 } }),
             path: /cell\.memberTtlMs/,
             remedy: /raise cell\.memberTtlMs to 3000/,
@@ -152,7 +157,7 @@
         assert.equal(parsed.kind === "faults" ? parsed.faults.length : 0, 4);
     });
 
-    it("takes a bare root from a file", () => {
+    it("accepts a bare root or a whole document in a file", () => {
         assert.equal(parseTreeFile(JSON.stringify({ children: services })).kind, "valid");
         assert.equal(parseTreeFile(encodeTree(DEFAULT_TREE)).kind, "valid");
         assert.equal(parseTreeFile(JSON.stringify({ childs: services })).kind, "faults");
@@ -160,7 +165,7 @@
 });
 
 describe("policies", () => {
-    it("are those of the placement table", () => {
+    it("match the placement policy table", () => {
         assert.deepEqual([...ALL_POLICY_NAMES].sort(), Object.keys(POLICIES).sort());
     });
 });
@@ -176,7 +181,7 @@
         },
     }));
 
-    it("fills a branch from the branches above and the defaults", () => {
+    it("fills in a branch from its ancestors and the defaults", () => {
         const settings = buildSettingsVersion(document);
         assert.deepEqual([...settings.branches.keys()], ["batch/rebuild"]);
         const branch = settings.branches.get("batch/rebuild");
@@ -186,7 +191,7 @@
         assert.equal(settings.version, 3);
     });
 
-    it("names the origin of each value", () => {
+    it("reports the origin of each value", () => {
         const values = new Map(getEffective(document, "batch/rebuild")?.map(value => [value.field, value]));
         const cases = [
             ["queueLimit", 20, "batch"],
@@ -244,7 +249,7 @@
         const applied = applyEdit(full, makeEdit(MAX_HISTORY_EDITS, MAX_HISTORY_EDITS), 0);
         const document = applied.kind === "applied" ? applied.document : assert.fail(JSON.stringify(applied));
         assert.equal(document.recentEdits.at(-1)?.version, MAX_HISTORY_EDITS + 1);
-        // The store client wraps the text in JSON once more, which escapes its quotes.
+        // The store client embeds the text in JSON, which escapes its quotes and so adds bytes.
         const bytes = Buffer.byteLength(JSON.stringify(encodeTree(document)));
         assert.ok(bytes < 1_000_000, `${bytes} bytes`);
         console.log(
--- a/src/version/apply-edit.ts
+++ b/src/version/apply-edit.ts
@@ -1,9 +1,9 @@
 /**
- * Applies an edit to the newest tree: merges it with edits made meanwhile, or shows the conflict.
+ * Applies an edit to the newest tree: merges it with concurrent edits, or reports the conflicts.
  *
- * @remarks The tree remembers its last edits. They tell what changed since the version an edit was made from, and
- * whether an edit was already applied. An edit made from a version older than the first remembered one is
- * refused; therefore a repeat that is no longer remembered can never be applied a second time.
+ * @remarks The tree keeps a history of recent edits, which shows what changed since an edit's base version and
+ * whether the edit was already applied. An edit whose base version is older than the history is refused, so a
+ * repeated edit that has left the history is never applied a second time.
  */
 import { isDeepStrictEqual } from "node:util";
 import type {
@@ -18,19 +18,19 @@
 import { getField, hasBranch, isOverlapping, withField } from "./tree-fields.js";
 import type { RootNode, TreeDocument } from "./tree-schema.js";
 
-/** Bytes of the tree without its remembered edits. */
+/** Maximum size of the root as JSON, in bytes, excluding the edit history. */
 export const MAX_ROOT_BYTES = 512 * 1_024;
-/** Bytes of the remembered edits. */
+/** Maximum size of the edit history as JSON, in bytes. */
 export const MAX_HISTORY_BYTES = 192 * 1_024;
-/** Remembered edits. */
+/** Maximum number of edits in the history. */
 export const MAX_HISTORY_EDITS = 500;
-/** Bytes of one edit as JSON, its former values included. */
+/** Maximum size of one edit as JSON, in bytes, including the former values. */
 export const MAX_EDIT_BYTES = 160 * 1_024;
 
 /** Result of applying an edit. */
 export type ApplyResult =
     | { readonly kind: "applied"; readonly document: TreeDocument; }
-    /** The same edit was applied before and made this version. */
+    /** The same edit was applied before and produced this version. */
     | { readonly kind: "repeated"; readonly version: number; }
     | { readonly kind: "conflict"; readonly conflicts: readonly FieldConflict[]; }
     | { readonly kind: "faults"; readonly faults: readonly SettingsFault[]; };
@@ -38,9 +38,8 @@
 /**
  * Applies an edit.
  * @param document - The newest tree.
- * @param edit - The edit.
- * @param wallMs - Wall-clock time, for the history.
- * @returns The tree of the next version, or why there is none.
+ * @param wallMs - Wall-clock time recorded in the history.
+ * @returns The tree of the next version, or the reason why the edit was not applied.
  */
 export function applyEdit(document: TreeDocument, edit: TreeEdit, wallMs: number): ApplyResult {
     const repeated = document.recentEdits.find(record => record.editId === edit.editId);
@@ -57,10 +56,10 @@
     if (conflicts.length > 0) {
         return { kind: "conflict", conflicts };
     }
-    return buildNext(document, edit, wallMs);
+    return buildNextVersion(document, edit, wallMs);
 }
 
-function buildNext(document: TreeDocument, edit: TreeEdit, wallMs: number): ApplyResult {
+function buildNextVersion(document: TreeDocument, edit: TreeEdit, wallMs: number): ApplyResult {
     let root = document.root;
     for (const { path, field, value } of edit.changes) {
         root = withField(root, path, field, value);
@@ -75,11 +74,11 @@
             before: getField(document.root, change.path, change.field),
         })),
     };
-    const checked = checkNext(document, root, record);
+    const checked = checkNextVersion(document, root, record);
     return checked.kind === "valid" ? { kind: "applied", document: checked.value } : checked;
 }
 
-function checkNext(document: TreeDocument, root: RootNode, record: EditRecord): Checked<TreeDocument> {
+function checkNextVersion(document: TreeDocument, root: RootNode, record: EditRecord): Checked<TreeDocument> {
     const sizeFault =
         checkSize("(root)", root, MAX_ROOT_BYTES, "remove teams or branches that are no longer used") ??
             checkSize("changes", record, MAX_EDIT_BYTES, "split the edit into several");
@@ -101,24 +100,24 @@
         { path, found: `${bytes} bytes`, allowed: `at most ${limit} bytes`, remedy };
 }
 
-/** Keeps the newest edits within the bounds; the newest one always, since its size was checked. */
+/** Keeps the newest edits that fit the history limits. The newest always fits: MAX_EDIT_BYTES is smaller. */
 function truncateHistory(edits: readonly EditRecord[]): readonly EditRecord[] {
     let bytes = 0;
-    let first = edits.length;
-    while (first > 0 && edits.length - first < MAX_HISTORY_EDITS) {
-        bytes += Buffer.byteLength(JSON.stringify(edits[first - 1]));
+    let firstKept = edits.length;
+    while (firstKept > 0 && edits.length - firstKept < MAX_HISTORY_EDITS) {
+        bytes += Buffer.byteLength(JSON.stringify(edits[firstKept - 1]));
         if (bytes > MAX_HISTORY_BYTES) {
             break;
         }
-        first--;
+        firstKept--;
     }
-    return edits.slice(first);
+    return edits.slice(firstKept);
 }
 
 function isSameEdit(record: EditRecord, edit: TreeEdit): boolean {
-    const kept = record.changes.map(({ path, field, value }) => ({ path, field, value }));
-    const given = edit.changes.map(({ path, field, value }) => ({ path, field, value }));
-    return isDeepStrictEqual(kept, given);
+    const recordedChanges = record.changes.map(({ path, field, value }) => ({ path, field, value }));
+    const submittedChanges = edit.changes.map(({ path, field, value }) => ({ path, field, value }));
+    return isDeepStrictEqual(recordedChanges, submittedChanges);
 }
 
 function buildReusedIdFault(edit: TreeEdit): SettingsFault {
@@ -132,12 +131,12 @@
 
 function checkEditShape(document: TreeDocument, edit: TreeEdit): readonly SettingsFault[] {
     const faults: SettingsFault[] = [];
-    const oldest = (document.recentEdits[0]?.version ?? document.version + 1) - 1;
-    if (edit.baseVersion > document.version || edit.baseVersion < oldest) {
+    const oldestBaseVersion = (document.recentEdits[0]?.version ?? document.version + 1) - 1;
+    if (edit.baseVersion > document.version || edit.baseVersion < oldestBaseVersion) {
         faults.push({
             path: "baseVersion",
             found: `${edit.baseVersion}`,
-            allowed: `a version from ${oldest} to ${document.version}`,
+            allowed: `a version from ${oldestBaseVersion} to ${document.version}`,
             remedy: "read the tree again, make the edit from that version and give it a new id",
         });
     }
@@ -161,31 +160,31 @@
     change: FieldChange,
     index: number,
 ): readonly SettingsFault[] {
-    const place = `${change.path === "" ? "(root)" : change.path}: ${change.field}`;
-    const doubled = changes.slice(0, index).find(other =>
+    const location = `${change.path === "" ? "(root)" : change.path}: ${change.field}`;
+    const duplicate = changes.slice(0, index).find(other =>
         other.path === change.path && isOverlapping(other.field, change.field)
     );
-    if (doubled !== undefined) {
+    if (duplicate !== undefined) {
         return [{
-            path: place,
-            found: `changed twice, also as ${doubled.field}`,
+            path: location,
+            found: `changed twice, also as ${duplicate.field}`,
             allowed: "each field at most once in an edit",
             remedy: "keep one of the two",
         }];
     }
-    if (hasBranch(root, change.path) || isCreated(changes, change.path)) {
+    if (hasBranch(root, change.path) || isBranchCreated(changes, change.path)) {
         return [];
     }
     return [{
-        path: place,
+        path: location,
         found: "no such branch",
         allowed: "a branch of the tree, or a new one that the same edit gives a kind",
         remedy: `check the path, or set "kind" on "${change.path}" in the same edit`,
     }];
 }
 
-/** Whether the edit sets a kind on the branch or below it; guards against new branches by a mistyped path. */
-function isCreated(changes: readonly FieldChange[], path: string): boolean {
+/** Whether the edit sets a kind on the branch or below it, so that a mistyped path doesn't create a branch. */
+function isBranchCreated(changes: readonly FieldChange[], path: string): boolean {
     return changes.some(other =>
         other.field === "kind" && other.value !== undefined &&
         (other.path === path || other.path.startsWith(`${path}/`))
@@ -193,28 +192,28 @@
 }
 
 function findConflicts(document: TreeDocument, edit: TreeEdit): readonly FieldConflict[] {
-    const since = document.recentEdits.filter(record => record.version > edit.baseVersion);
-    return edit.changes.flatMap(change => findConflict(document, since, change) ?? []);
+    const laterEdits = document.recentEdits.filter(record => record.version > edit.baseVersion);
+    return edit.changes.flatMap(change => findConflict(document, laterEdits, change) ?? []);
 }
 
 function findConflict(
     document: TreeDocument,
-    since: readonly EditRecord[],
+    laterEdits: readonly EditRecord[],
     change: FieldChange,
 ): FieldConflict | undefined {
     const { path, field, value: yours } = change;
-    const first = since
+    const firstOverlap = laterEdits
         .flatMap(record => record.changes)
         .find(other => other.path === path && isOverlapping(other.field, field));
     const theirs = getField(document.root, path, field);
-    if (first === undefined || isDeepStrictEqual(theirs, yours)) {
+    if (firstOverlap === undefined || isDeepStrictEqual(theirs, yours)) {
         return undefined;
     }
-    return { path, field, base: getPart(first, field), theirs, yours };
+    return { path, field, base: getFormerValue(firstOverlap, field), theirs, yours };
 }
 
-/** The value of `field` before a change of it, of a part of it, or of what it is a part of. */
-function getPart(change: FieldChange & { readonly before?: unknown; }, field: string): unknown {
+/** Returns the value before a change that overlaps `field`, narrowed to `field` if the change covers more. */
+function getFormerValue(change: FieldChange & { readonly before?: unknown; }, field: string): unknown {
     if (!field.startsWith(`${change.field}.`)) {
         return change.before;
     }
--- a/src/version/cluster-config.ts
+++ b/src/version/cluster-config.ts
@@ -1,67 +1,66 @@
-/** One version of the queues and pools that the operator has put in force, in the words of this project. */
+/** One version of the operator's configuration of queues and pools. */
 import type { Millis } from "../common/clock.js";
 
-/** Cost of asking which workers may run a step, and how long an answer may be used. */
+/** Cost of requesting permits for a step from the advice service, and how long a permit is valid. */
 export interface AdvicePolicy {
-    /** Time that the advice service takes for any question. */
+    /** Time that the advice service takes for any request. */
     readonly decideMs: Millis;
-    /** Time that it takes on top for each worker named. */
+    /** Additional time for each worker named in the request. */
     readonly perWorkerMs: Millis;
-    /** Time for which a permit is accepted by its worker. */
+    /** Time for which a worker accepts a permit. */
     readonly validMs: Millis;
 }
 
-/** A queue: where its jobs arrive, which pool runs them, and what it promises. */
+/** A queue: where its jobs arrive, which pool runs them, and its service objectives. */
 export interface QueueConfig {
     readonly name: string;
     /** Value of the `Host` header without a port, in lower case. */
     readonly host: string;
-    /** Path that the queue's requests begin with; ends with a slash. */
+    /** Path prefix of the queue's requests; ends with a slash. */
     readonly pathPrefix: string;
     /** Pool whose workers run the queue's tasks. */
     readonly pool: string;
-    /** 0 goes first. */
+    /** 0 is the highest priority. */
     readonly priority: number;
-    /** Failed runs of a task, or of a gang, after which its job has failed. */
+    /** Number of failed runs of a task, or of a gang, after which its job fails. */
     readonly maxAttempts: number;
-    /** Objective as a multiple of the job's longest chain of work. */
+    /** Completion objective as a multiple of the job's critical path. */
     readonly stretch: number;
-    /** Time that the objective allows on top. */
+    /** Time added to the completion objective. */
     readonly targetMs: Millis;
-    /** Set where the queue's steps need a permit for each worker. */
+    /** Set if the queue's steps need a permit for each worker. */
     readonly advice: AdvicePolicy | undefined;
 }
 
 /** A pool of workers. */
 export interface PoolConfig {
     readonly name: string;
-    /** Whether its workers refuse what does not fit. */
+    /** Whether its workers refuse tasks that exceed their free capacity. */
     readonly checksAdmission: boolean;
     /** Connections that one worker accepts. */
     readonly maxConnections: number;
 }
 
-/** A whole configuration. Versions rise, in uneven steps. */
+/** A complete configuration. Versions increase, but not necessarily by one. */
 export interface ClusterConfig {
     readonly version: number;
     readonly queues: readonly QueueConfig[];
     readonly pools: readonly PoolConfig[];
-    /** Largest body of a request, in bytes. */
+    /** Maximum size of a request body, in bytes. */
     readonly maxBodyBytes: number;
 }
 
-/** A queue and what follows its prefix in a path. */
+/** A queue and the part of the path after its prefix. */
 export interface QueueMatch {
     readonly queue: QueueConfig;
     readonly rest: string;
 }
 
 /**
- * Finds the queue of a request: same host, longest prefix.
- * @param config - The version in force.
+ * Finds the queue of a request: same host, longest matching path prefix.
  * @param host - `Host` header; a port is ignored.
  * @param path - Path without query.
- * @returns Undefined where no queue takes it.
+ * @returns Undefined if no queue matches.
  */
 export function findQueue(config: ClusterConfig, host: string, path: string): QueueMatch | undefined {
     const name = host.split(":")[0]?.toLowerCase();
--- a/src/version/compare-trees.ts
+++ b/src/version/compare-trees.ts
@@ -1,4 +1,4 @@
-/** Differences between trees: as an edit that turns one into the other, and as effects on branches. */
+/** Differences between trees: as the changes that turn one into the other, and as effects on branches. */
 import { isDeepStrictEqual } from "node:util";
 import type { DryRunReport, FieldChange } from "../process/operator-gateway.js";
 import { buildSettingsVersion, listLeaves, listNodes } from "./inherit.js";
@@ -7,8 +7,6 @@
 
 /**
  * Lists the changes that turn one tree into another.
- * @param before - The tree as it is.
- * @param after - The tree as it should be.
  */
 export function compareTrees(before: RootNode, after: RootNode): readonly FieldChange[] {
     const left = listOwnFields(before);
@@ -45,7 +43,7 @@
         add(path, node.settings ?? {});
     }
     add("", root.cell === undefined ? {} : { cell: root.cell });
-    // A team is one field: its quota is valid only whole, and a team without settings is still a team.
+    // Each team is compared as one field: a quota is valid only as a whole, and a team may have no settings.
     for (const [team, value] of Object.entries(root.teams ?? {})) {
         fields.set(`: teams.${team}`, { path: "", field: `teams.${team}`, value });
     }
@@ -55,10 +53,8 @@
 type BranchChange = DryRunReport["changedBranches"][number];
 
 /**
- * Lists the branches whose settings in force differ between two trees.
- * @param before - The tree in force.
- * @param after - The tree as an edit would make it.
- * @param describeEffect - Says in words what the change means for work that waits in the branch.
+ * Lists the branches whose effective settings differ between two trees.
+ * @param describeEffect - Describes what the change means for work that waits in the branch.
  */
 export function compareBranches(
     before: TreeDocument,
--- a/src/version/cross-rules.ts
+++ b/src/version/cross-field-rules.ts
@@ -1,30 +1,30 @@
-/** Rules between fields: what each field allows by itself may still contradict another. */
+/** Rules across fields: values that are valid each by itself may still contradict one another. */
 import type { Resources } from "../common/resources.js";
 import type { SettingsFault } from "../process/operator-gateway.js";
 import { WorkKind } from "../request/work.js";
-import { buildBranch, buildCell, buildSettingsVersion, listNodes, type PlacedNode } from "./inherit.js";
+import { buildBranch, buildCell, buildSettingsVersion, listNodes, type LocatedNode } from "./inherit.js";
 import { POLICY_NAMES } from "./policies.js";
 import type { BranchSettings, CellSettings } from "./settings.js";
 import type { RootNode, TreeDocument } from "./tree-schema.js";
 
-/** Levels of branches below the root. */
+/** Maximum number of branch levels below the root. */
 export const MAX_DEPTH = 8;
-/** Branches of one tree. */
+/** Maximum number of branches in a tree, the root included. */
 export const MAX_BRANCHES = 2_000;
-/** Teams of one tree. */
+/** Maximum number of teams in a tree. */
 export const MAX_TEAMS = 5_000;
 
-/** Digests that may be lost in a row before what a peer said stops counting as fresh. */
-const DIGESTS_PER_FRESH = 3;
+/** Digest intervals that the freshness period must cover, so that a lost digest does not make a peer stale. */
+const MIN_DIGESTS_PER_FRESHNESS_PERIOD = 3;
 type CellRule = (cell: CellSettings) => SettingsFault | undefined;
 type BranchRule = (branch: BranchSettings) => SettingsFault | undefined;
 
 /**
- * Checks all rules between fields.
- * @param document - A tree whose fields are valid each by itself.
- * @returns Every fault; empty when there is none.
+ * Checks all rules across fields.
+ * @param document - A tree whose fields are each valid by itself.
+ * @returns All faults found. A tree over a size limit gets only its size faults.
  */
-export function checkCrossRules(document: TreeDocument): readonly SettingsFault[] {
+export function checkCrossFieldRules(document: TreeDocument): readonly SettingsFault[] {
     const nodes = listNodes(document.root);
     const sizeFaults = checkSizes(document.root, nodes);
     if (sizeFaults.length > 0) {
@@ -37,7 +37,7 @@
     ];
 }
 
-function checkSizes(root: RootNode, nodes: readonly PlacedNode[]): readonly SettingsFault[] {
+function checkSizes(root: RootNode, nodes: readonly LocatedNode[]): readonly SettingsFault[] {
     const faults: SettingsFault[] = [];
     const teams = Object.keys(root.teams ?? {}).length;
     if (nodes.length > MAX_BRANCHES) {
@@ -56,11 +56,11 @@
             remedy: "remove teams that hand in no work",
         });
     }
-    const tooDeep = nodes.find(placed => placed.line.length > MAX_DEPTH + 1);
+    const tooDeep = nodes.find(located => located.lineage.length > MAX_DEPTH + 1);
     if (tooDeep !== undefined) {
         faults.push({
             path: tooDeep.path,
-            found: `${tooDeep.line.length - 1} levels`,
+            found: `${tooDeep.lineage.length - 1} levels`,
             allowed: `at most ${MAX_DEPTH} levels`,
             remedy: "move the branch up",
         });
@@ -70,14 +70,14 @@
 
 const cellRules: readonly CellRule[] = [
     cell => {
-        const least = cell.digestMs * DIGESTS_PER_FRESH;
+        const least = cell.digestMs * MIN_DIGESTS_PER_FRESHNESS_PERIOD;
         return cell.freshMs >= least ? undefined : {
             path: "(root): cell.freshMs",
             found: `freshMs ${cell.freshMs} with digestMs ${cell.digestMs}`,
             allowed:
-                `freshMs of at least ${DIGESTS_PER_FRESH} times digestMs, so that a lost digest does no harm`,
+                `freshMs of at least ${MIN_DIGESTS_PER_FRESHNESS_PERIOD} times digestMs, so that a lost digest does no harm`,
             remedy: `raise cell.freshMs to ${least} or lower cell.digestMs to ${
-                Math.floor(cell.freshMs / DIGESTS_PER_FRESH)
+                Math.floor(cell.freshMs / MIN_DIGESTS_PER_FRESHNESS_PERIOD)
             }`,
         };
     },
@@ -111,18 +111,18 @@
     return cellRules.flatMap(rule => rule(cell) ?? []);
 }
 
-function checkNode(placed: PlacedNode): readonly SettingsFault[] {
-    const { kind } = placed.node;
-    const faults = checkKind(placed);
+function checkNode(located: LocatedNode): readonly SettingsFault[] {
+    const { kind } = located.node;
+    const faults = checkKind(located);
     if (kind === undefined) {
         return faults;
     }
-    const branch = buildBranch(placed, kind);
+    const branch = buildBranch(located, kind);
     return [...faults, ...branchRules.flatMap(rule => rule(branch) ?? [])];
 }
 
-function checkKind({ path, node, line }: PlacedNode): readonly SettingsFault[] {
-    const parent = line.slice(0, -1).findLast(({ node: above }) => above.kind !== undefined);
+function checkKind({ path, node, lineage }: LocatedNode): readonly SettingsFault[] {
+    const parent = lineage.slice(0, -1).findLast(({ node: above }) => above.kind !== undefined);
     if (node.kind === undefined || parent === undefined || parent.node.kind === node.kind) {
         return [];
     }
@@ -172,26 +172,26 @@
 
 function checkTeams(document: TreeDocument): readonly SettingsFault[] {
     const { teams, branches } = buildSettingsVersion(document);
-    const largest = [...branches.values()].filter(branch => branch.kind !== WorkKind.service);
-    const owners = new Map<string, string>();
+    const branchesWithTasks = [...branches.values()].filter(branch => branch.kind !== WorkKind.service);
+    const teamByTokenHash = new Map<string, string>();
     const faults: SettingsFault[] = [];
     for (const { team, quota, tokenHashes } of teams.values()) {
         if (quota !== undefined) {
-            faults.push(...checkQuota(team, quota, largest));
+            faults.push(...checkQuota(team, quota, branchesWithTasks));
         }
         for (const hash of tokenHashes) {
-            const other = owners.get(hash);
-            if (other !== undefined) {
+            const otherTeam = teamByTokenHash.get(hash);
+            if (otherTeam !== undefined) {
                 faults.push({
                     path: `(root): teams.${team}.tokenHashes`,
                     found: `${hash}, which ${
-                        other === team ? "stands here twice" : `is also a token of "${other}"`
+                        otherTeam === team ? "stands here twice" : `is also a token of "${otherTeam}"`
                     }`,
                     allowed: "hashes that no other team has",
                     remedy: `remove the hash, or give "${team}" a token of its own`,
                 });
             }
-            owners.set(hash, team);
+            teamByTokenHash.set(hash, team);
         }
     }
     return faults;
@@ -199,7 +199,7 @@
 
 const RESOURCE_NAMES: readonly (keyof Resources)[] = ["cpuMillis", "memoryMib", "accelerators"];
 
-/** A quota of 0 says that the team gets none; any other must hold at least one task of the default size. */
+/** A quota of 0 excludes the team from the resource; any other must fit the largest default task. */
 function checkQuota(
     team: string,
     quota: Resources,
--- a/src/version/faults.ts
+++ b/src/version/faults.ts
@@ -1,25 +1,23 @@
 /**
- * Turns the issues of the schema library into faults that name the field, what was found, what is allowed and
- * what to do. Used for the tree and for entry settings.
+ * Validates JSON against schemas and converts validation issues to faults, which name the field, the value
+ * found, the values allowed and the remedy. Used for the settings tree and for entry settings.
  */
 import { z } from "zod";
 import type { SettingsFault } from "../process/operator-gateway.js";
 
-/** Result of checking a value against a schema. */
+/** Result of a validation. */
 export type Checked<Value> =
     | { readonly kind: "valid"; readonly value: Value; }
     | { readonly kind: "faults"; readonly faults: readonly SettingsFault[]; };
 
 type Path = readonly PropertyKey[];
 
-const MAX_SHOWN_LENGTH = 80;
+const MAX_FORMATTED_LENGTH = 80;
 
 /**
- * Checks a value against a schema and reports all faults at once.
- * @param schema - The schema.
+ * Validates a value against a schema and reports all faults at once.
  * @param value - The value, as parsed from JSON.
- * @param formatPath - How the place of a fault is written.
- * @returns The checked value, or every fault.
+ * @param formatPath - Formats the location of a fault; defaults to dotted names.
  */
 export function validateBySchema<Value>(
     schema: z.ZodType<Value>,
@@ -36,9 +34,8 @@
 
 /**
  * Parses JSON text.
- * @param text - The text.
- * @param name - What the text is, for the fault.
- * @returns The value, or one fault that says where the text stops being JSON.
+ * @param name - Path reported in the fault.
+ * @returns The value, or one fault with the parser's message.
  */
 export function parseJson(text: string, name: string): Checked<unknown> {
     try {
@@ -58,19 +55,18 @@
 }
 
 /**
- * Shortens a value for a message.
- * @param value - Any JSON value, or undefined.
+ * Formats a JSON value, or undefined, for a message; long text is truncated.
  */
 export function formatValue(value: unknown): string {
     const text = value === undefined ? "nothing" : JSON.stringify(value) ?? String(value);
-    return text.length <= MAX_SHOWN_LENGTH ? text : `${text.slice(0, MAX_SHOWN_LENGTH)}…`;
+    return text.length <= MAX_FORMATTED_LENGTH ? text : `${text.slice(0, MAX_FORMATTED_LENGTH)}…`;
 }
 
 function formatDottedPath(path: Path): string {
     return path.length === 0 ? "(whole document)" : path.map(String).join(".");
 }
 
-function getAt(value: unknown, path: Path): unknown {
+function getValueAt(value: unknown, path: Path): unknown {
     let current = value;
     for (const key of path) {
         if (typeof current !== "object" || !current) {
@@ -97,9 +93,9 @@
         }));
     }
     const isKeyIssue = issue.code === "invalid_key";
-    const found = isKeyIssue ? issue.path.at(-1) : getAt(root, issue.path);
+    const found = isKeyIssue ? issue.path.at(-1) : getValueAt(root, issue.path);
     const target = findSchemaAt(schema, issue.path, isKeyIssue);
-    const allowed = findAllowed(target) ?? issue.message;
+    const allowed = findAllowedText(target) ?? issue.message;
     return [{
         path: formatPath(issue.path),
         found: isSecret(target) ? `a value of ${String(found).length} characters` : formatValue(found),
@@ -108,7 +104,7 @@
     }];
 }
 
-/** Units that people write after a number, with their factor. */
+/** Milliseconds in each unit that users append to a duration. */
 const DURATION_UNITS: Readonly<Record<string, number>> = {
     ms: 1,
     s: 1_000,
@@ -145,7 +141,7 @@
     return target instanceof z.ZodObject ? Object.keys(target.shape) : [];
 }
 
-/** Removes the wrappers that do not change what a schema means to a reader. */
+/** Unwraps optional, default and lazy schemas. */
 function getInnerSchema(schema: z.ZodType): z.ZodType {
     let current = schema;
     while (
@@ -182,7 +178,7 @@
     return schema !== undefined && z.globalRegistry.get(schema)?.secret === true;
 }
 
-function findAllowed(schema: z.ZodType | undefined): string | undefined {
+function findAllowedText(schema: z.ZodType | undefined): string | undefined {
     if (schema === undefined) {
         return undefined;
     }
@@ -194,39 +190,39 @@
 }
 
 function describeUnknownField(key: string, allowed: readonly string[]): string {
-    const nearest = findNearest(key, allowed);
+    const nearest = findNearestName(key, allowed);
     return nearest === undefined ?
         "remove the field, or check its name and place in the reference page" :
         `remove the field, or write ${JSON.stringify(nearest)} if that was meant`;
 }
 
-/** Largest share of a name that may differ for it to be offered as what was meant. */
-const NEAREST_SHARE = 0.4;
+/** Largest edit distance, as a share of the name's length, at which a known name is suggested. */
+const MAX_EDIT_DISTANCE_RATIO = 0.4;
 
-function findNearest(key: string, candidates: readonly string[]): string | undefined {
+function findNearestName(key: string, candidates: readonly string[]): string | undefined {
     let nearest: string | undefined;
-    let least = Math.ceil(key.length * NEAREST_SHARE) + 1;
+    let leastDistance = Math.ceil(key.length * MAX_EDIT_DISTANCE_RATIO) + 1;
     for (const candidate of candidates) {
         const distance = computeEditDistance(key.toLowerCase(), candidate.toLowerCase());
-        if (distance < least) {
+        if (distance < leastDistance) {
             nearest = candidate;
-            least = distance;
+            leastDistance = distance;
         }
     }
     return nearest;
 }
 
-/** Levenshtein distance. */
+/** Computes the Levenshtein distance. */
 function computeEditDistance(left: string, right: string): number {
     let previous = Array.from({ length: right.length + 1 }, (...[, index]) => index);
     for (let row = 1; row <= left.length; row++) {
         const current = [row];
         for (let column = 1; column <= right.length; column++) {
-            const change = left[row - 1] === right[column - 1] ? 0 : 1;
+            const substitutionCost = left[row - 1] === right[column - 1] ? 0 : 1;
             current.push(Math.min(
                 (previous[column] ?? 0) + 1,
                 (current[column - 1] ?? 0) + 1,
-                (previous[column - 1] ?? 0) + change,
+                (previous[column - 1] ?? 0) + substitutionCost,
             ));
         }
         previous = current;
--- a/src/version/field-schemas.ts
+++ b/src/version/field-schemas.ts
@@ -1,87 +1,87 @@
 /**
- * Schemas of single settings. Each carries its meaning (`description`) and what it allows in words (`allowed`),
- * from which faults, the reference pages and the JSON Schemas are made.
+ * Builders for the schemas of single settings. Each schema carries its meaning (`description`) and a textual
+ * form of what it allows (`allowed`), which faults, the reference pages and the JSON Schemas show.
  */
 import { z } from "zod";
 
 declare module "zod" {
     interface GlobalMeta {
-        /** What the field accepts, in words, for faults and reference pages. */
+        /** What the field accepts, as text for faults and reference pages. */
         allowed?: string;
         /** Unit of a number. */
         unit?: string;
-        /** Whether a found value must not be shown. */
+        /** Whether faults must not show the value. */
         secret?: boolean;
     }
 }
 
 /**
- * Schema of a duration.
- * @param min - Least milliseconds.
- * @param max - Most milliseconds.
- * @param about - What the field means.
+ * Builds the schema of a duration.
+ * @param min - Minimum, in milliseconds.
+ * @param max - Maximum, in milliseconds.
+ * @param meaning - Description of the field.
  */
-export function buildMillisSchema(min: number, max: number, about: string): z.ZodNumber {
+export function buildMillisSchema(min: number, max: number, meaning: string): z.ZodNumber {
     return z.int().min(min).max(max).meta({
-        description: about,
+        description: meaning,
         unit: "milliseconds",
         allowed: `whole number of milliseconds from ${min} to ${max}`,
     });
 }
 
 /**
- * Schema of a whole number.
- * @param min - Least value.
- * @param max - Most.
- * @param about - What the field means.
- * @param unit - What is counted, in words.
+ * Builds the schema of an integer.
+ * @param min - Minimum, inclusive.
+ * @param max - Maximum, inclusive.
+ * @param meaning - Description of the field.
+ * @param unit - Unit in words; empty if there is none.
  */
-export function buildCountSchema(min: number, max: number, about: string, unit = ""): z.ZodNumber {
+export function buildCountSchema(min: number, max: number, meaning: string, unit = ""): z.ZodNumber {
     const allowed = unit === "" ?
         `whole number from ${min} to ${max}` :
         `whole number of ${unit} from ${min} to ${max}`;
-    return z.int().min(min).max(max).meta({ description: about, unit, allowed });
+    return z.int().min(min).max(max).meta({ description: meaning, unit, allowed });
 }
 
 /**
- * Schema of a number that need not be whole.
- * @param min - Least value.
- * @param max - Most.
- * @param about - What the field means.
+ * Builds the schema of a number with fractions allowed.
+ * @param min - Minimum, inclusive.
+ * @param max - Maximum, inclusive.
+ * @param meaning - Description of the field.
  */
-export function buildNumberSchema(min: number, max: number, about: string): z.ZodNumber {
+export function buildNumberSchema(min: number, max: number, meaning: string): z.ZodNumber {
     return z.number().min(min).max(max).meta({
-        description: about,
+        description: meaning,
         allowed: `number from ${min} to ${max}`,
     });
 }
 
 /**
- * Schema of one word out of several.
- * @param values - The words.
- * @param about - What the field means.
+ * Builds the schema of a string enumeration.
+ * @param values - The allowed values.
+ * @param meaning - Description of the field.
  */
-export function buildChoiceSchema<const Values extends readonly string[]>(values: Values, about: string) {
+export function buildChoiceSchema<const Values extends readonly string[]>(values: Values, meaning: string) {
     return z.enum(values).meta({
-        description: about,
+        description: meaning,
         allowed: `one of ${values.map(value => JSON.stringify(value)).join(", ")}`,
     });
 }
 
 /**
- * Schema of a text that matches a pattern.
+ * Builds the schema of a string that matches a pattern.
  * @param pattern - The pattern, anchored.
- * @param allowed - The pattern in words.
- * @param about - What the field means.
+ * @param allowed - Description of the pattern.
+ * @param meaning - Description of the field.
  */
-export function buildTextSchema(pattern: RegExp, allowed: string, about: string): z.ZodString {
-    return z.string().regex(pattern).meta({ description: about, allowed });
+export function buildTextSchema(pattern: RegExp, allowed: string, meaning: string): z.ZodString {
+    return z.string().regex(pattern).meta({ description: meaning, allowed });
 }
 
 /**
- * Schema of true or false.
- * @param about - What the field means.
+ * Builds the schema of a boolean.
+ * @param meaning - Description of the field.
  */
-export function buildFlagSchema(about: string): z.ZodBoolean {
-    return z.boolean().meta({ description: about, allowed: "true or false" });
+export function buildFlagSchema(meaning: string): z.ZodBoolean {
+    return z.boolean().meta({ description: meaning, allowed: "true or false" });
 }
--- a/src/version/index.ts
+++ b/src/version/index.ts
@@ -1,4 +1,4 @@
-/** What lives for one version of the settings: the tree, its checks and the settings built from it. */
+/** The settings tree: its schema, validation and edits, and the settings built from one version of it. */
 export { applyEdit, type ApplyResult } from "./apply-edit.js";
 export { compareBranches, compareTrees } from "./compare-trees.js";
 export { DEFAULT_TREE } from "./default-tree.js";
--- a/src/version/inherit.ts
+++ b/src/version/inherit.ts
@@ -1,4 +1,4 @@
-/** Inheritance: fills in what a branch does not set from the branches above it, then from the defaults. */
+/** Inheritance: a field that a branch does not set comes from its nearest ancestor, then from the defaults. */
 import type { EffectiveValue } from "../process/operator-gateway.js";
 import type { WorkKind } from "../request/work.js";
 import { POLICY_NAMES } from "./policies.js";
@@ -12,27 +12,26 @@
 } from "./settings.js";
 import type { RootNode, TreeDocument, TreeNode } from "./tree-schema.js";
 
-/** Origin of a value that no branch sets. */
+/** Origin reported for a value that no branch sets. */
 export const DEFAULT_ORIGIN = "default";
 
-/** A branch with its path and the branches above it, the root first and itself last. */
-export interface PlacedNode {
+/** A branch with its path and its lineage: the branches from the root down to itself. */
+export interface LocatedNode {
     readonly path: string;
     readonly node: TreeNode;
-    readonly line: readonly { readonly path: string; readonly node: TreeNode; }[];
+    readonly lineage: readonly { readonly path: string; readonly node: TreeNode; }[];
 }
 
 /**
  * Lists all branches, parents before children; the root comes first with the empty path.
- * @param root - The root of the tree.
  */
-export function listNodes(root: RootNode): readonly PlacedNode[] {
-    const nodes: PlacedNode[] = [];
-    function visit(path: string, node: TreeNode, above: PlacedNode["line"]): void {
-        const line = [...above, { path, node }];
-        nodes.push({ path, node, line });
+export function listNodes(root: RootNode): readonly LocatedNode[] {
+    const nodes: LocatedNode[] = [];
+    function visit(path: string, node: TreeNode, ancestors: LocatedNode["lineage"]): void {
+        const lineage = [...ancestors, { path, node }];
+        nodes.push({ path, node, lineage });
         for (const [name, child] of Object.entries(node.children ?? {})) {
-            visit(path === "" ? name : `${path}/${name}`, child, line);
+            visit(path === "" ? name : `${path}/${name}`, child, lineage);
         }
     }
     visit("", root, []);
@@ -40,14 +39,14 @@
 }
 
 /**
- * Builds the settings that the rest of the system reads.
- * @param document - A checked tree.
+ * Builds the complete settings of every branch and team from a tree.
+ * @param document - A valid tree.
  */
 export function buildSettingsVersion(document: TreeDocument): SettingsVersion {
     const branches = new Map<string, BranchSettings>();
-    for (const placed of listNodes(document.root)) {
-        if (placed.node.kind !== undefined) {
-            branches.set(placed.path, buildBranch(placed, placed.node.kind));
+    for (const located of listNodes(document.root)) {
+        if (located.node.kind !== undefined) {
+            branches.set(located.path, buildBranch(located, located.node.kind));
         }
     }
     return {
@@ -58,27 +57,23 @@
     };
 }
 
-/**
- * Builds the settings of the cell with defaults filled in.
- * @param root - The root of the tree.
- */
+/** Builds the settings of the cell with defaults filled in. */
 export function buildCell(root: RootNode): CellSettings {
     return { ...DEFAULT_CELL, ...root.cell };
 }
 
 /**
- * Builds the settings of one branch.
- * @param placed - The branch and the branches above it.
- * @param kind - Kind of work, which decides the default policy.
+ * Builds the settings of one branch with inherited values and defaults filled in.
+ * @param kind - Kind of work, which determines the default policy.
  */
-export function buildBranch(placed: PlacedNode, kind: WorkKind): BranchSettings {
+export function buildBranch(located: LocatedNode, kind: WorkKind): BranchSettings {
     const settings = {
         ...DEFAULT_BRANCH,
         policy: POLICY_NAMES[kind][0],
-        path: placed.path,
+        path: located.path,
         kind,
     };
-    for (const { node } of placed.line) {
+    for (const { node } of located.lineage) {
         const { defaultResources, ...own } = node.settings ?? {};
         Object.assign(settings, own);
         settings.defaultResources = { ...settings.defaultResources, ...defaultResources };
@@ -88,38 +83,38 @@
 
 function buildTeams(root: RootNode): ReadonlyMap<string, TeamSettings> {
     const teams = new Map<string, TeamSettings>();
-    for (const [team, own] of Object.entries(root.teams ?? {})) {
+    for (const [team, ownSettings] of Object.entries(root.teams ?? {})) {
         teams.set(team, {
             team,
-            weight: own.weight ?? 1,
-            quota: own.quota,
-            tokenHashes: own.tokenHashes ?? [],
+            weight: ownSettings.weight ?? 1,
+            quota: ownSettings.quota,
+            tokenHashes: ownSettings.tokenHashes ?? [],
         });
     }
     return teams;
 }
 
 /**
- * Lists the settings in force for a branch and where each comes from.
- * @param document - A checked tree.
+ * Lists the effective settings of a branch with the origin of each value.
+ * @param document - A valid tree.
  * @param path - Path of the branch; the empty string is the root.
- * @returns The values, or undefined if there is no such branch.
+ * @returns Undefined if there is no such branch.
  */
 export function getEffective(document: TreeDocument, path: string): readonly EffectiveValue[] | undefined {
-    const placed = listNodes(document.root).find(candidate => candidate.path === path);
-    if (placed === undefined) {
+    const located = listNodes(document.root).find(candidate => candidate.path === path);
+    if (located === undefined) {
         return undefined;
     }
     const values = new Map<string, EffectiveValue>();
-    const defaults = placed.node.kind === undefined ?
+    const defaults = located.node.kind === undefined ?
         DEFAULT_BRANCH :
-        { ...DEFAULT_BRANCH, policy: POLICY_NAMES[placed.node.kind][0] };
+        { ...DEFAULT_BRANCH, policy: POLICY_NAMES[located.node.kind][0] };
     setFields(values, defaults, DEFAULT_ORIGIN);
-    for (const { path: origin, node } of placed.line) {
+    for (const { path: origin, node } of located.lineage) {
         setFields(values, node.settings ?? {}, origin);
     }
-    if (placed.node.kind !== undefined) {
-        values.set("kind", { field: "kind", value: placed.node.kind, origin: path });
+    if (located.node.kind !== undefined) {
+        values.set("kind", { field: "kind", value: located.node.kind, origin: path });
     }
     if (path === "") {
         setFields(values, { cell: DEFAULT_CELL }, DEFAULT_ORIGIN);
@@ -135,9 +130,8 @@
 }
 
 /**
- * Lists the leaves of an object under dotted names.
- * @param value - An object of settings.
- * @param prefix - Put before each name.
+ * Flattens an object into pairs of dotted name and leaf value; arrays count as leaves.
+ * @param prefix - Prepended to each name.
  */
 export function listLeaves(value: object, prefix = ""): readonly (readonly [string, unknown])[] {
     return Object.entries(value).flatMap(([key, part]: [string, unknown]) => {
@@ -146,10 +140,7 @@
     });
 }
 
-/**
- * Tells whether a value is an object with named parts.
- * @param value - Any JSON value.
- */
+/** Tells whether a JSON value is an object, as opposed to an array, a primitive or null. */
 export function isPlainObject(value: unknown): value is Record<string, unknown> {
     return typeof value === "object" && Boolean(value) && !Array.isArray(value);
 }
--- a/src/version/parse-tree.ts
+++ b/src/version/parse-tree.ts
@@ -1,6 +1,6 @@
-/** Reads and writes the stored text of the tree. */
+/** Parses, validates and serializes the settings tree. */
 import type { SettingsFault } from "../process/operator-gateway.js";
-import { checkCrossRules } from "./cross-rules.js";
+import { checkCrossFieldRules } from "./cross-field-rules.js";
 import { type Checked, formatValue, parseJson, validateBySchema } from "./faults.js";
 import { isPlainObject } from "./inherit.js";
 import { type RootNode, TREE_FORMAT, type TreeDocument, treeDocumentSchema } from "./tree-schema.js";
@@ -8,7 +8,7 @@
 /**
  * Parses the stored text of a tree.
  * @param text - JSON text.
- * @returns The tree, or every fault. Text of a newer format is refused, never read in part.
+ * @returns The tree, or all faults. Text of a newer format is refused as a whole, never read in part.
  */
 export function parseTree(text: string): Checked<TreeDocument> {
     const parsed = parseJson(text, "tree");
@@ -16,9 +16,9 @@
 }
 
 /**
- * Checks a tree, fields and rules between them.
- * @param value - A tree as JSON.
- * @returns The tree, or every fault.
+ * Checks a tree: its format, each field, and the rules across fields.
+ * @param value - A tree as parsed from JSON.
+ * @returns The tree, or all faults.
  */
 export function checkTree(value: unknown): Checked<TreeDocument> {
     const formatFault = checkFormat(value);
@@ -29,25 +29,22 @@
     if (checked.kind === "faults") {
         return checked;
     }
-    const faults = checkCrossRules(checked.value);
+    const faults = checkCrossFieldRules(checked.value);
     return faults.length > 0 ? { kind: "faults", faults } : checked;
 }
 
-/**
- * Writes a tree as text for the store.
- * @param document - The tree.
- */
+/** Serializes a tree to the text kept in the store. */
 export function encodeTree(document: TreeDocument): string {
     return JSON.stringify(document);
 }
 
-/** A document with only these keys at its top is a bare root, as people write it in files. */
+/** A document whose top-level keys are all in this set is a bare root, the usual form of hand-written files. */
 const ROOT_KEYS = new Set(["settings", "cell", "teams", "children"]);
 
 /**
- * Parses a file that people write: either a whole document, or only its root.
+ * Parses a hand-written file, which holds either a whole document or only its root.
  * @param text - JSON text.
- * @returns The root, or every fault.
+ * @returns The root, or all faults.
  */
 export function parseTreeFile(text: string): Checked<RootNode> {
     const parsed = parseJson(text, "tree");
@@ -78,7 +75,7 @@
     };
 }
 
-/** Writes the place of a fault as `branch: field`, the way edits name it. */
+/** Formats the location of a fault as `branch: field`. */
 function formatTreePath(path: readonly PropertyKey[]): string {
     const parts = path.map(String);
     if (parts[0] !== "root") {
--- a/src/version/settings.ts
+++ b/src/version/settings.ts
@@ -1,23 +1,23 @@
 /**
- * The settings in force, as the rest of the system reads them: one immutable value for each version of the
- * tree, with every default and inherited value filled in. `src/version/index.ts` builds it from the tree.
+ * The effective settings: one immutable value for each version of the tree, with all defaults and inherited
+ * values filled in. `buildSettingsVersion` builds it from the tree.
  */
 import type { Millis } from "../common/clock.js";
 import type { Resources } from "../common/resources.js";
 import type { WorkKind } from "../request/work.js";
 
-/** How far a branch follows the tree. */
+/** To what extent a branch's work is handled by this system. */
 export const Adoption = {
-    /** Not taken: requests for it are refused with "not run". */
+    /** Requests for the branch are refused with "not run". */
     off: "off",
-    /** Decisions are made and logged, nothing is started; the old scripts go on. */
+    /** Decisions are made and logged, but nothing is started; the old scripts still run the work. */
     shadow: "shadow",
     /** Decisions are carried out. */
     on: "on",
 } as const;
 export type Adoption = (typeof Adoption)[keyof typeof Adoption];
 
-/** What a spread keeps apart. */
+/** Placement unit across which the tasks of a job are spread. */
 export const Spread = {
     none: "none",
     rack: "rack",
@@ -25,7 +25,7 @@
 } as const;
 export type Spread = (typeof Spread)[keyof typeof Spread];
 
-/** Settings of one branch, complete. */
+/** Complete settings of one branch. */
 export interface BranchSettings {
     /** Path of the branch, such as `batch/season-rebuild`. */
     readonly path: string;
@@ -33,34 +33,34 @@
     readonly adoption: Adoption;
     /** Name of the policy in the policy table. */
     readonly policy: string;
-    /** Share of the branch against others, for policies that weigh. */
+    /** Weight of the branch relative to others, for policies that use weights. */
     readonly weight: number;
-    /** Requests or tasks that may wait at one placer; more are shed. */
+    /** Maximum number of requests or tasks waiting at one placer; further ones are shed. */
     readonly queueLimit: number;
-    /** Longest wait before a request is shed, in milliseconds; jobs wait without limit. */
+    /** Maximum wait before a request is shed, in milliseconds; jobs wait without limit. */
     readonly maxWaitMs: Millis;
-    /** Service requests at once on one worker; at most the worker's own slots. */
+    /** Maximum concurrent service requests on one worker; the worker's own slots also limit them. */
     readonly slotsPerWorker: number;
-    /** Connections that the system keeps to one worker at most. */
+    /** Maximum number of connections that the system keeps to one worker. */
     readonly connectionsPerWorker: number;
-    /** Time for one try of a service request. */
+    /** Timeout of one attempt of a service request. */
     readonly attemptTimeoutMs: Millis;
-    /** Tries of a repeatable request or task, the first included. */
+    /** Maximum attempts of a repeatable request or task, including the first. */
     readonly maxAttempts: number;
-    /** Retries as a share of fresh requests, from 0 to 1. */
+    /** Maximum retries as a share of new requests, from 0 to 1. */
     readonly retryShare: number;
     readonly spread: Spread;
-    /** Added rank per minute of waiting, so that nothing starves; policy-specific unit. */
+    /** Rank gained per minute of waiting, which prevents starvation; the unit depends on the policy. */
     readonly agingPerMinute: number;
-    /** Whether running tasks may be preempted for urgent ones. */
+    /** Whether running tasks may be preempted by urgent ones. */
     readonly preemptible: boolean;
-    /** Default size of a task where the caller gives none. */
+    /** Resources of a task if the caller specifies none. */
     readonly defaultResources: Resources;
-    /** Default run time where the caller gives none. */
+    /** Estimated run time if the caller specifies none. */
     readonly defaultEstimateMs: Millis;
-    /** Longest run time before a task is stopped as failed; 0 for none. */
+    /** Maximum run time, after which a task is stopped as failed; 0 for no limit. */
     readonly maxRunMs: Millis;
-    /** Time that ended work and idempotency keys are remembered. */
+    /** Retention time of ended work and idempotency keys. */
     readonly retentionMs: Millis;
 }
 
@@ -68,54 +68,54 @@
 export interface TeamSettings {
     readonly team: string;
     readonly weight: number;
-    /** Most that the team's tasks may use at once over the whole cell; undefined for no limit. */
+    /** Maximum resources in use by the team's tasks in the whole cell; undefined for no limit. */
     readonly quota?: Resources;
-    /** SHA-256 of the team's tokens, in hexadecimal. */
+    /** SHA-256 hashes of the team's tokens, in hexadecimal. */
     readonly tokenHashes: readonly string[];
 }
 
 /** Settings of the whole cell. */
 export interface CellSettings {
-    /** Time that a worker goes on running tasks without a renewal. */
+    /** Time for which a worker keeps running tasks without a lease renewal. */
     readonly workerLeaseMs: Millis;
     /** Time to live of an entry's lease in the store. */
     readonly memberTtlMs: Millis;
-    /** Time between digests to peers. */
+    /** Interval between digests to peers. */
     readonly digestMs: Millis;
-    /** Age at which what a peer or the store said no longer counts as fresh. */
+    /** Age at which information from a peer or the store becomes stale. */
     readonly freshMs: Millis;
-    /** Longest time an entry acts without the store, while a majority of entries agrees that it is down. */
+    /** Maximum time that an entry acts without the store, provided a majority of entries agrees it is down. */
     readonly outageToleranceMs: Millis;
-    /** Share by which two clocks may drift apart, such as 0.01. */
+    /** Maximum relative drift between two clocks, such as 0.01. */
     readonly clockDrift: number;
-    /** Store writes a second for all entries together. */
+    /** Maximum store writes per second of all entries together. */
     readonly storeWritesPerSecond: number;
-    /** Store reads and waiting watches a second for all entries together. */
+    /** Maximum store reads, long-polling watches included, per second of all entries together. */
     readonly storeReadsPerSecond: number;
-    /** Largest share of workers that may be ejected at once. */
+    /** Maximum share of workers that may be ejected at the same time. */
     readonly ejectionCap: number;
-    /** Failures in a row, above the fleet's own rate, that eject a worker. */
+    /** Consecutive failures, above the fleet's own rate, after which a worker is ejected. */
     readonly ejectionFailures: number;
     readonly ejectionMs: Millis;
-    /** Lost tasks started again a second at most, over one placer. */
+    /** Maximum restarts of lost tasks per second at one placer. */
     readonly recoveryStartsPerSecond: number;
-    /** Preemptions a minute at most, over one placer. */
+    /** Maximum preemptions per minute at one placer. */
     readonly preemptionsPerMinute: number;
 }
 
-/** One version of the settings, complete and checked. */
+/** The complete, valid settings of one version of the tree. */
 export interface SettingsVersion {
     readonly version: number;
     readonly cell: CellSettings;
     readonly teams: ReadonlyMap<string, TeamSettings>;
-    /** Branches that take work, by path. */
+    /** Branches that accept work, by path. */
     readonly branches: ReadonlyMap<string, BranchSettings>;
 }
 
-/** Number of home slices; fixed for the life of a cell, since keys of jobs hash to them. */
+/** Number of home slices. Fixed for the lifetime of a cell, since job keys hash to slices. */
 export const HOME_SLICES = 16;
 
-/** Number of worker slices; fixed for the life of a cell. A rack lies whole in one slice. */
+/** Number of worker slices, fixed for the lifetime of a cell. All workers of a rack are in the same slice. */
 export const WORKER_SLICES = 64;
 
 /** Defaults of the cell. */
--- a/src/version/tree-fields.ts
+++ b/src/version/tree-fields.ts
@@ -1,32 +1,26 @@
-/** Reads and changes single fields of a tree by branch path and field name. */
+/** Access to single fields of a tree by branch path and field name. */
 import { isPlainObject } from "./inherit.js";
 import type { RootNode } from "./tree-schema.js";
 
-/** Fields that stand at a branch itself; all others stand in its `settings`. */
-const NODE_FIELDS = new Set(["kind", "cell", "teams"]);
+/** Fields stored directly on a branch; all others are stored in its `settings`. */
+const TOP_LEVEL_FIELDS = new Set(["kind", "cell", "teams"]);
 
-/** A JSON object of the tree. */
 type JsonObject = Record<string, unknown>;
 
-/**
- * Lists the keys that lead from the root to a branch.
- * @param path - Path of the branch; the empty string is the root.
- */
+/** Lists the object keys that lead from the root to a branch; the empty path is the root. */
 function listBranchKeys(path: string): readonly string[] {
     return path === "" ? [] : path.split("/").flatMap(name => ["children", name]);
 }
 
 function listFieldKeys(field: string): readonly string[] {
     const parts = field.split(".");
-    return NODE_FIELDS.has(parts[0] ?? "") ? parts : ["settings", ...parts];
+    return TOP_LEVEL_FIELDS.has(parts[0] ?? "") ? parts : ["settings", ...parts];
 }
 
 /**
  * Reads one field.
- * @param root - The root of the tree.
- * @param path - Path of the branch.
  * @param field - Dotted name of the field.
- * @returns The branch's own value, or undefined if it has none.
+ * @returns The branch's own value, or undefined if it would inherit the field.
  */
 export function getField(root: RootNode, path: string, field: string): unknown {
     let current: unknown = root;
@@ -39,11 +33,6 @@
     return current;
 }
 
-/**
- * Tells whether a branch exists.
- * @param root - The root of the tree.
- * @param path - Path of the branch.
- */
 export function hasBranch(root: RootNode, path: string): boolean {
     let current: unknown = root;
     for (const key of listBranchKeys(path)) {
@@ -56,11 +45,10 @@
 }
 
 /**
- * Returns a root with one field changed.
- * @param root - The root of the tree.
- * @param path - Path of the branch; it is made if it does not exist.
+ * Returns a copy of the tree with one field changed.
+ * @param path - Path of the branch, which is created if it does not exist.
  * @param field - Dotted name of the field.
- * @param value - The new value; undefined removes the field, and what is empty after that.
+ * @param value - The new value; undefined removes the field and all objects that become empty.
  */
 export function withField(root: RootNode, path: string, field: string, value: unknown): RootNode {
     return withValue(root as JsonObject, [...listBranchKeys(path), ...listFieldKeys(field)], value) ?? {};
@@ -82,11 +70,7 @@
     return entries.length === 0 ? undefined : Object.fromEntries(entries);
 }
 
-/**
- * Tells whether two names stand for the same field or one for a part of the other.
- * @param left - Dotted name.
- * @param right - Dotted name.
- */
+/** Tells whether two dotted names are equal or one contains the other. */
 export function isOverlapping(left: string, right: string): boolean {
     return left === right || left.startsWith(`${right}.`) || right.startsWith(`${left}.`);
 }
--- a/src/version/tree-schema.ts
+++ b/src/version/tree-schema.ts
@@ -1,4 +1,4 @@
-/** Schema and types of the settings tree as it is stored: JSON with defaults left out. */
+/** Schema and types of the settings tree as stored: JSON with defaults omitted. */
 import { z } from "zod";
 import { WorkKind } from "../request/work.js";
 import {
@@ -12,7 +12,7 @@
 import { ALL_POLICY_NAMES } from "./policies.js";
 import { Adoption, Spread } from "./settings.js";
 
-/** Format of the stored tree that this program writes; it refuses higher ones. */
+/** Version of the storage format that this program writes; higher versions are refused. */
 export const TREE_FORMAT = 1;
 
 const SECOND = 1_000;
@@ -35,7 +35,7 @@
     allowed: "{cpuMillis, memoryMib, accelerators}, all three",
 });
 
-/** Settings that every branch has, its own or inherited. */
+/** Settings of a branch; fields that it omits are inherited. */
 export const branchSettingsSchema = z.strictObject({
     adoption: buildChoiceSchema(
         Object.values(Adoption),
@@ -104,7 +104,7 @@
     ),
 }).partial();
 
-/** Settings of the whole cell. */
+/** Settings that apply to the whole cell. */
 export const cellSettingsSchema = z.strictObject({
     workerLeaseMs: buildMillisSchema(
         2 * SECOND,
@@ -166,7 +166,7 @@
     ),
 }).partial();
 
-/** A team: its weight, quota and tokens. */
+/** Weight, quota and tokens of a team. */
 export const teamSchema = z.strictObject({
     weight: buildNumberSchema(0.001, 1_000, "Share of the team against others.").optional(),
     quota: resourcesSchema.meta({
@@ -200,7 +200,7 @@
     readonly children?: Readonly<Record<string, TreeNode>>;
 }
 
-/** The root: a branch that also has what concerns the whole cell. */
+/** The root: its settings are inherited by every branch, and it holds the cell's settings and the teams. */
 export interface RootNode extends Omit<TreeNode, "kind"> {
     readonly cell?: z.infer<typeof cellSettingsSchema>;
     readonly teams?: Readonly<Record<string, z.infer<typeof teamSchema>>>;
@@ -214,7 +214,7 @@
     },
 }).meta({ id: "branch" });
 
-/** The root of the tree. */
+/** Schema of the root of the tree. */
 export const rootSchema = z.strictObject({
     settings: branchSettingsSchema.meta({ description: "Defaults that every branch inherits." }).optional(),
     cell: cellSettingsSchema.meta({ description: "Settings of the whole cell." }).optional(),
@@ -229,7 +229,7 @@
     before: z.unknown().optional(),
 });
 
-/** One edit that the tree still remembers. */
+/** Schema of one edit in the history. */
 export const editRecordSchema = z.strictObject({
     editId: z.string(),
     version: z.int().min(1),
@@ -238,7 +238,7 @@
     changes: z.array(changeSchema),
 });
 
-/** The tree as stored. */
+/** Schema of the stored document. */
 export const treeDocumentSchema = z.strictObject({
     format: z.literal(TREE_FORMAT).meta({
         description: "Format of the document.",
@@ -253,7 +253,7 @@
     recentEdits: z.array(editRecordSchema).meta({ description: "The last edits; kept by the system." }),
 });
 
-/** The tree as stored. */
+/** The stored document: a tree with its version and edit history. */
 export interface TreeDocument {
     readonly format: typeof TREE_FORMAT;
     readonly version: number;
