--- a/bench/lib/baselines.ts
+++ b/bench/lib/baselines.ts
@@ -1,15 +1,15 @@
 /**
- * Plain baselines: one queue in order of arrival, and a choice of worker that goes through the fleet.
+ * Baseline schedulers for comparison in benches: one queue in order of arrival and a linear scan of the workers.
  *
- * @remarks `first-come` stops at the first item that does not fit; the others pass it by. All drop what waited
- * longer than its deadline. They live in the bench only.
+ * @remarks `first-come` stops at the first item that does not fit; the others skip it. All drop items whose deadline
+ * has passed.
  */
 import type { Random } from "../../src/common/random.js";
 import { isWithin, removeResources, type Resources } from "../../src/common/resources.js";
 import type { WorkerView, WorkItem } from "../../src/process/placement/index.js";
 import type { Start, Step, Subject } from "./subject.js";
 
-interface PlainWorker {
+interface BaselineWorker {
     readonly id: string;
     free: Resources;
     freeSlots: number;
@@ -21,14 +21,14 @@
     readonly items: readonly WorkItem[];
 }
 
-/** What waits in one size, in order of arrival; `from` is the first that still waits. */
+/** Waiting entries of one size, in order of arrival; `head` is the index of the first that still waits. */
 interface SizeQueue {
     readonly waiting: Waiting[];
-    from: number;
+    head: number;
 }
 
-/** Chooses one of the workers that fit; all workers are given in order. */
-type ChooseWorker = (fitting: readonly PlainWorker[], random: Random) => PlainWorker | undefined;
+/** Chooses one of the fitting workers, which are given in fleet order. */
+type ChooseWorker = (fitting: readonly BaselineWorker[], random: Random) => BaselineWorker | undefined;
 
 export const BASELINES = {
     "first-come": { skips: false, choose: fitting => fitting[0] },
@@ -42,10 +42,13 @@
 export type BaselineName = keyof typeof BASELINES;
 
 export class BaselineSubject implements Subject {
-    private readonly workers: PlainWorker[];
+    private readonly workers: BaselineWorker[];
     private readonly queues = new Map<string, SizeQueue>();
     private sequence = 0;
-    private readonly running = new Map<string, { readonly item: WorkItem; readonly worker: PlainWorker; }>();
+    private readonly running = new Map<
+        string,
+        { readonly item: WorkItem; readonly worker: BaselineWorker; }
+    >();
     private readonly withdrawn = new Set<string>();
 
     constructor(readonly name: BaselineName, views: readonly WorkerView[], private readonly random: Random) {
@@ -89,10 +92,10 @@
         const starts: Start[] = [];
         const shed: WorkItem[] = [];
         const { skips } = BASELINES[this.name];
-        // A size that fitted nowhere in this look fits nowhere until the next: makes it quick, not better.
+        // A size that fits no worker now fits none for the rest of this call; skipping it only saves time.
         const failed = new Set<SizeQueue>();
         for (let queue = this.findFirst(failed, now, shed); queue !== undefined;) {
-            const waiting = queue.waiting[queue.from];
+            const waiting = queue.waiting[queue.head];
             const placed = waiting === undefined ? undefined : this.tryPlace(waiting);
             if (placed === undefined) {
                 failed.add(queue);
@@ -101,7 +104,7 @@
                 }
             }
             else {
-                queue.from += 1;
+                queue.head += 1;
                 starts.push(...placed);
             }
             queue = this.findFirst(failed, now, shed);
@@ -120,19 +123,19 @@
         }
         const { cpuMillis, memoryMib, accelerators } = first.resources;
         const key = `${first.branch}/${cpuMillis}/${memoryMib}/${accelerators}/${items.length}`;
-        const queue = this.queues.get(key) ?? { waiting: [], from: 0 };
+        const queue = this.queues.get(key) ?? { waiting: [], head: 0 };
         this.queues.set(key, queue);
         this.sequence += 1;
         queue.waiting.push({ sequence: this.sequence, items });
     }
 
-    /** Finds the size whose first item came first; drops what is withdrawn or past its deadline on the way. */
+    /** Finds the queue whose first entry arrived first; drops withdrawn and expired entries from the heads. */
     private findFirst(failed: ReadonlySet<SizeQueue>, now: number, shed: WorkItem[]): SizeQueue | undefined {
         let best: SizeQueue | undefined;
         let bestSequence = Infinity;
         for (const queue of this.queues.values()) {
             this.dropFirst(queue, now, shed);
-            const sequence = queue.waiting[queue.from]?.sequence ?? Infinity;
+            const sequence = queue.waiting[queue.head]?.sequence ?? Infinity;
             if (sequence < bestSequence && !failed.has(queue)) {
                 best = queue;
                 bestSequence = sequence;
@@ -142,7 +145,7 @@
     }
 
     private dropFirst(queue: SizeQueue, now: number, shed: WorkItem[]): void {
-        for (let first = queue.waiting[queue.from]?.items[0]; first !== undefined;) {
+        for (let first = queue.waiting[queue.head]?.items[0]; first !== undefined;) {
             const isLate = first.deadline !== undefined && first.deadline <= now;
             if (!isLate && !this.withdrawn.delete(first.id)) {
                 return;
@@ -150,17 +153,17 @@
             if (isLate) {
                 shed.push(first);
             }
-            queue.from += 1;
-            first = queue.waiting[queue.from]?.items[0];
+            queue.head += 1;
+            first = queue.waiting[queue.head]?.items[0];
         }
-        if (queue.from > 0) {
-            queue.waiting.splice(0, queue.from);
-            queue.from = 0;
+        if (queue.head > 0) {
+            queue.waiting.splice(0, queue.head);
+            queue.head = 0;
         }
     }
 
     private tryPlace(waiting: Waiting): readonly Start[] | undefined {
-        const placed: { readonly item: WorkItem; readonly worker: PlainWorker; }[] = [];
+        const placed: { readonly item: WorkItem; readonly worker: BaselineWorker; }[] = [];
         for (const item of waiting.items) {
             const fitting = this.workers.filter(worker => isFitting(item, worker));
             const worker = fitting.length === 0 ?
@@ -177,8 +180,8 @@
         return placed.map(entry => ({ item: entry.item, workerId: entry.worker.id }));
     }
 
-    /** Takes an item's needs from a worker (1) or gives them back (-1). */
-    private use(item: WorkItem, worker: PlainWorker, sign: 1 | -1): void {
+    /** Reserves an item's resources on a worker (sign 1) or releases them (-1). */
+    private use(item: WorkItem, worker: BaselineWorker, sign: 1 | -1): void {
         if (item.kind === "service") {
             worker.freeSlots -= sign;
             return;
@@ -192,14 +195,14 @@
     }
 }
 
-function isFitting(item: WorkItem, worker: PlainWorker): boolean {
+function isFitting(item: WorkItem, worker: BaselineWorker): boolean {
     return item.kind === "service" ? worker.freeSlots > 0 : isWithin(item.resources, worker.free);
 }
 
-function chooseLeastLoaded(fitting: readonly PlainWorker[]): PlainWorker | undefined {
-    const computeFree = (worker: PlainWorker) =>
+function chooseLeastLoaded(fitting: readonly BaselineWorker[]): BaselineWorker | undefined {
+    const computeFree = (worker: BaselineWorker) =>
         worker.freeSlots + worker.free.cpuMillis / worker.capacity.cpuMillis;
-    return fitting.reduce<PlainWorker | undefined>(
+    return fitting.reduce<BaselineWorker | undefined>(
         (best, worker) => best === undefined || computeFree(worker) > computeFree(best) ? worker : best,
         undefined,
     );
--- a/bench/lib/bench.ts
+++ b/bench/lib/bench.ts
@@ -1,10 +1,10 @@
-/** What a bench is and what it reports. */
+/** Types of benches and their reports. */
 
 /** One bench; `bench/table.ts` lists them. */
 export interface Bench {
-    /** Name on the command line and of its page in docs/measurements. */
+    /** Name on the command line and file name of its page in docs/measurements. */
     readonly name: string;
-    /** One line for the list. */
+    /** One-line description for the list of benches. */
     readonly about: string;
     run(options: BenchOptions): Promise<BenchReport> | BenchReport;
 }
@@ -15,13 +15,13 @@
     readonly seed: number;
 }
 
-/** A table of figures; the first row is the head. */
+/** A table of figures; the first row is the header. */
 export interface FigureTable {
     readonly title: string;
     readonly rows: readonly (readonly (string | number)[])[];
 }
 
-/** A plot of lines. */
+/** A line plot. */
 export interface Plot {
     readonly title: string;
     readonly xLabel: string;
@@ -36,7 +36,7 @@
     readonly points: readonly (readonly [number, number])[];
 }
 
-/** Targets that a run met or missed. */
+/** A performance target and whether the run met it. */
 export interface TargetCheck {
     readonly target: string;
     readonly measured: string;
--- a/bench/lib/driver.ts
+++ b/bench/lib/driver.ts
@@ -1,9 +1,9 @@
-/** Feeds a subject by events: arrivals, ends after the true run time, and the looks that time asks for. */
+/** Drives a subject by simulated events: arrivals, ends of runs after their true run time, and timed decisions. */
 import type { WorkItem } from "../../src/process/placement/index.js";
 import { EventQueue } from "./event-queue.js";
 import type { Subject } from "./subject.js";
 
-/** What was seen of one class of work. */
+/** Statistics of one class of work. */
 export class ClassRecord {
     readonly waits: number[] = [];
     arrived = 0;
@@ -16,14 +16,14 @@
     private usedSince = 0;
     private usedTotal = 0;
 
-    /** Notes a change of what is in use. */
+    /** Records a change of the resources in use. */
     countUse(now: number, change: number): void {
         this.usedTotal += this.inUse * (now - this.usedSince);
         this.usedSince = now;
         this.inUse += change;
     }
 
-    /** @returns Use times milliseconds since the last call. */
+    /** @returns Integral of the use over time in milliseconds, since the last call. */
     takeUse(): number {
         const used = this.usedTotal;
         this.usedTotal = 0;
@@ -34,31 +34,31 @@
 interface Running {
     readonly item: WorkItem;
     readonly startedAt: number;
-    /** Changes with each start, so that the end of a stopped run is not taken for that of the next. */
+    /** Unique for each start, so that the end of a stopped run is not mistaken for that of the next. */
     readonly run: number;
 }
 
-/** Time for which a checkpoint goes on before the task stops. */
+/** Time that a preempted task takes to save a checkpoint before it stops. */
 const CHECKPOINT_MS = 300;
 
 export class Driver {
     readonly events = new EventQueue();
     readonly records = new Map<string, ClassRecord>();
-    /** Whether a run on this worker fails at once. */
+    /** Returns whether a run on this worker fails at once. */
     fails: (workerId: string) => boolean = () => false;
     /** Called at each start. */
     afterStart: (item: WorkItem) => void = () => undefined;
     private readonly running = new Map<string, Running>();
     private readonly trueRuns = new Map<string, number>();
-    /** Handed in and not started for the first time. */
+    /** Submitted items that have not yet started for the first time. */
     private readonly waiting = new Map<string, WorkItem>();
     private runs = 0;
-    private plannedAt = Infinity;
+    private nextDecisionAt = Infinity;
     private usedFrom = 0;
 
     constructor(readonly subject: Subject, private readonly classify: (item: WorkItem) => string) {}
 
-    /** Hands an item in at this instant. */
+    /** Submits an item at the current simulated time. */
     submit(item: WorkItem, trueRunMs: number): void {
         const record = this.getRecord(this.classify(item));
         record.arrived += 1;
@@ -100,7 +100,7 @@
         return record;
     }
 
-    /** @returns Mean of what each class had in use since the last call, in slots or millicores. */
+    /** @returns Mean use of each class since the last call, in slots or millicores. */
     takeMeanUse(): ReadonlyMap<string, number> {
         const means = new Map<string, number>();
         const { now } = this.events;
@@ -113,14 +113,14 @@
         return means;
     }
 
-    /** Counts what still waits as if it started now: its waits are lower bounds. */
+    /** Records the wait of items that still wait as if they started now; these waits are lower bounds. */
     endWaits(): void {
         for (const item of this.waiting.values()) {
             this.getRecord(this.classify(item)).waits.push(this.events.now - item.queuedAt);
         }
     }
 
-    /** Lets the subject decide and carries the decisions out. */
+    /** Lets the subject decide and applies its decisions. */
     step(): void {
         const { now } = this.events;
         const step = this.subject.decide(now);
@@ -132,9 +132,9 @@
             this.dropItem(item.id);
         }
         for (const id of step.stops) {
-            this.stopSoon(id);
+            this.scheduleStop(id);
         }
-        this.planLook();
+        this.scheduleDecision();
     }
 
     private start(item: WorkItem, workerId: string): void {
@@ -178,8 +178,8 @@
         this.step();
     }
 
-    /** A preempted task saves its state, stops and waits again with what is left of it. */
-    private stopSoon(id: string): void {
+    /** Stops a preempted task after its checkpoint and enqueues it again with its remaining run time. */
+    private scheduleStop(id: string): void {
         const entry = this.running.get(id);
         if (entry === undefined) {
             return;
@@ -208,17 +208,17 @@
         this.waiting.delete(id);
     }
 
-    private planLook(): void {
+    private scheduleDecision(): void {
         const { now } = this.events;
         const next = this.subject.getNextAt(now);
-        if (next === undefined || this.plannedAt > now && this.plannedAt <= next) {
+        if (next === undefined || this.nextDecisionAt > now && this.nextDecisionAt <= next) {
             return;
         }
-        this.plannedAt = Math.max(next, now + 1);
-        const planned = this.plannedAt;
+        this.nextDecisionAt = Math.max(next, now + 1);
+        const planned = this.nextDecisionAt;
         this.events.schedule(planned, () => {
-            if (this.plannedAt === planned) {
-                this.plannedAt = Infinity;
+            if (this.nextDecisionAt === planned) {
+                this.nextDecisionAt = Infinity;
                 this.step();
             }
         });
@@ -230,5 +230,5 @@
     }
 }
 
-/** Time after which a worker that fails everything says so. */
+/** Run time on a worker that fails every run. */
 const FAILED_RUN_MS = 5;
--- a/bench/lib/event-queue.ts
+++ b/bench/lib/event-queue.ts
@@ -1,10 +1,10 @@
-/** Events in order of time, then of creation: what feeds the core in the benches. */
+/** Event queue of the simulated benches; events run in order of time, then of creation. */
 import { Heap } from "heap-js";
 
 interface Event {
     readonly at: number;
     readonly sequence: number;
-    readonly act: () => void;
+    readonly callback: () => void;
 }
 
 export class EventQueue {
@@ -16,15 +16,15 @@
 
     schedule(at: number, act: () => void): void {
         this.sequence += 1;
-        this.heap.push({ at: Math.max(at, this.now), sequence: this.sequence, act });
+        this.heap.push({ at: Math.max(at, this.now), sequence: this.sequence, callback: act });
     }
 
-    /** Runs all events up to an instant. */
+    /** Runs all events up to and including `end` and advances the simulated time to it. */
     runUntil(end: number): void {
         for (let top = this.heap.peek(); top !== undefined && top.at <= end; top = this.heap.peek()) {
             this.heap.pop();
             this.now = top.at;
-            top.act();
+            top.callback();
         }
         this.now = end;
     }
--- a/bench/lib/figures.ts
+++ b/bench/lib/figures.ts
@@ -1,4 +1,4 @@
-/** Percentiles, rounding and slopes. */
+/** Helpers for figures in reports: percentiles, rounding, linear regression and exponential random draws. */
 
 /** @returns The value below which the given share of the samples lies; 0 without samples. */
 export function computePercentile(samples: readonly number[], share: number): number {
@@ -27,7 +27,7 @@
     return { slope, intercept: meanY - slope * meanX };
 }
 
-/** @returns A draw from an exponential distribution. */
+/** @returns A sample of an exponential distribution, derived from a uniform random `fraction` in [0, 1). */
 export function pickExponential(fraction: number, mean: number): number {
     return -mean * Math.log(1 - fraction);
 }
--- a/bench/lib/fleet.ts
+++ b/bench/lib/fleet.ts
@@ -1,4 +1,4 @@
-/** Workers, settings and tasks for the benches of the placement core. */
+/** Builds workers, settings and tasks for the benches of the placement core. */
 import type { Random } from "../../src/common/random.js";
 import { NO_RESOURCES } from "../../src/common/resources.js";
 import type { PlacementCore, WorkerView, WorkItem } from "../../src/process/placement/index.js";
@@ -10,11 +10,11 @@
     type TeamSettings,
 } from "../../src/version/settings.js";
 
-/** Teams with quotas at the size of the plan. */
+/** Number of teams with quotas at the planned size. */
 export const TEAMS = 410;
 const RACK_SIZE = 6;
 
-/** A branch with what differs from the defaults. */
+/** A branch's settings where they differ from the defaults. */
 export type BranchChange = Partial<BranchSettings> & Pick<BranchSettings, "path" | "kind" | "policy">;
 
 export function buildSettings(
@@ -70,7 +70,7 @@
     };
 }
 
-/** @returns A service request. */
+/** @returns A service request that expires `maxMs` milliseconds after `now`. */
 export function buildRequest(
     id: string,
     branch: string,
--- a/bench/lib/plot.ts
+++ b/bench/lib/plot.ts
@@ -1,4 +1,4 @@
-/** A small table-to-SVG helper, since no plotting library is among the project's packages. */
+/** Renders line plots as SVG, as the project has no plotting library among its packages. */
 import type { Plot } from "./bench.js";
 import { formatFigure } from "./figures.js";
 
--- a/bench/lib/report.ts
+++ b/bench/lib/report.ts
@@ -1,4 +1,4 @@
-/** Prints reports and writes their figures into docs/measurements, leaving the written conclusion as it is. */
+/** Prints reports and updates the figures of pages in docs/measurements; text outside the figures is preserved. */
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from "node:fs";
 import { cpus, totalmem } from "node:os";
 import type { Bench, BenchReport, FigureTable } from "./bench.js";
@@ -9,13 +9,12 @@
 const END = "<!-- end of figures -->";
 const GIB = 2 ** 30;
 
-/** Prints a report to standard output. */
 export function printReport(bench: Bench, report: BenchReport, seed: number, tookMs: number): void {
     console.log(`\n== ${bench.name} (seed ${seed}, ${(tookMs / 1_000).toFixed(1)} s) ${bench.about}`);
     console.log(renderFigures(report));
 }
 
-/** Writes page and plots of a report. */
+/** Writes the page and plots of a report. */
 export function writeReport(bench: Bench, report: BenchReport, seed: number): void {
     mkdirSync(FOLDER, { recursive: true });
     const page = `${FOLDER}/${bench.name}.md`;
--- a/bench/lib/subject.ts
+++ b/bench/lib/subject.ts
@@ -1,45 +1,45 @@
-/** What a bench drives: the placement core, or a plain baseline. */
+/** The scheduler under test in a bench: the placement core or a baseline. */
 import type { Random } from "../../src/common/random.js";
 import { type Decision, type PlacementCore, type WorkItem } from "../../src/process/placement/index.js";
 
-/** An item that starts. */
+/** Start of an item on a worker. */
 export interface Start {
     readonly item: WorkItem;
     readonly workerId: string;
 }
 
-/** What happened in one look at the queues. */
+/** Result of one call of `decide`. */
 export interface Step {
     readonly starts: readonly Start[];
-    /** Items given up. */
+    /** Items dropped from the queues. */
     readonly shed: readonly WorkItem[];
-    /** Running items that must stop; they keep what a checkpoint saved. */
+    /** Running items to stop; they keep the progress that a checkpoint saved. */
     readonly stops: readonly string[];
 }
 
-/** Takes work and starts it. */
+/** A scheduler that accepts work items and decides where they start. */
 export interface Subject {
     readonly name: string;
-    /** @returns Whether it was taken. */
+    /** @returns Whether the item was accepted. */
     enqueue(item: WorkItem, now: number): boolean;
-    /** Hands in the members of a gang, which must start together. */
+    /** Enqueues the members of a gang, which must start together. */
     enqueueGang(gangId: string, items: readonly WorkItem[]): void;
     release(itemId: string, now: number, ranMs: number, failed: boolean): void;
     withdraw(itemId: string): void;
     decide(now: number): Step;
-    /** Loses a worker and all on it. */
+    /** Removes a worker and returns the IDs of the items lost with it. */
     removeWorker(workerId: string): readonly string[];
-    /** Instant of the next look that time alone makes necessary. */
+    /** Time at which to decide next if nothing else happens; undefined if there is none. */
     getNextAt(now: number): number | undefined;
 }
 
-const HOLD_MS = 10_000;
-const RETRY_MS = 1_000;
+const GANG_HOLD_MS = 10_000;
+const GANG_RETRY_MS = 1_000;
 
-/** The core, with gangs held and committed the way a home does it: the oldest keeps a part, others give it back. */
+/** Placement core whose gangs are held as in a home: the oldest keeps a partial hold, the others release theirs. */
 export class CoreSubject implements Subject {
     private readonly gangs = new Map<string, readonly WorkItem[]>();
-    private gangsAt = 0;
+    private nextGangAttemptAt = 0;
 
     constructor(readonly name: string, readonly core: PlacementCore, private readonly random: Random) {}
 
@@ -49,7 +49,7 @@
 
     enqueueGang(gangId: string, items: readonly WorkItem[]): void {
         this.gangs.set(gangId, items);
-        this.gangsAt = 0;
+        this.nextGangAttemptAt = 0;
     }
 
     release(itemId: string, now: number, ranMs: number, failed: boolean): void {
@@ -75,18 +75,20 @@
 
     getNextAt(now: number): number | undefined {
         const next = this.core.getNextDecisionAt(now);
-        return this.gangs.size === 0 ? next : Math.min(next ?? Infinity, Math.max(now + 1, this.gangsAt));
+        return this.gangs.size === 0 ?
+            next :
+            Math.min(next ?? Infinity, Math.max(now + 1, this.nextGangAttemptAt));
     }
 
     private decideGangs(now: number): readonly Decision[] {
-        if (this.gangs.size === 0 || now < this.gangsAt) {
+        if (this.gangs.size === 0 || now < this.nextGangAttemptAt) {
             return [];
         }
-        this.gangsAt = now + RETRY_MS;
+        this.nextGangAttemptAt = now + GANG_RETRY_MS;
         const started: Decision[] = [];
         let isOldest = true;
         for (const [gangId, items] of this.gangs) {
-            const result = this.core.reserve(gangId, items, now + HOLD_MS, now);
+            const result = this.core.reserve(gangId, items, now + GANG_HOLD_MS, now);
             if (result.held === items.length) {
                 started.push(...this.core.commitHold(gangId, now));
                 this.gangs.delete(gangId);
--- a/bench/losses/causes.ts
+++ b/bench/losses/causes.ts
@@ -1,65 +1,65 @@
-/** Where the time of a late job went. Pure. */
+/** Attributes the delay of late jobs to causes. */
 import type { Millis } from "../../src/common/clock.js";
 import type { JobTimeline, RunTimeline, StepTimeline } from "./job-timeline.js";
 import type { LogLine } from "./log-lines.js";
 
-/** Why time passed without work, in the order in which they are told apart. */
+/** Causes of time without work, in the order of the printed columns. */
 export const LossCause = {
-    /** No node led. */
+    /** There was no leader. */
     noLeader: "no leader",
-    /** A new leader read the journal. */
+    /** A new leader was loading the journal. */
     journalLoading: "journal",
-    /** The leader's processor was full: its regular lines came late. */
+    /** The leader was short of CPU time: its periodic log lines came late. */
     leaderLate: "leader late",
-    /** The store did not answer the leader. */
-    storeAway: "store away",
-    /** An answer of the advice service was waited for. */
+    /** The leader could not reach the store. */
+    storeUnavailable: "store away",
+    /** A step waited for the advice service. */
     permits: "permits",
-    /** Room was waited for, or the leader's own pace. */
-    room: "room",
-    /** Runs failed and were repeated. */
+    /** A task waited for free capacity, or for the leader to get to it. */
+    capacity: "room",
+    /** Runs failed and were retried. */
     failedRuns: "failed runs",
-    /** Runs were lost with their worker or its lease, or never began. */
+    /** Runs were lost with their worker or its lease, or never started. */
     lostRuns: "lost runs",
-    /** Nothing of these: the runs themselves took longer than expected. */
+    /** None of the above: the runs themselves took longer than expected. */
     longRuns: "long runs",
 } as const;
 export type LossCause = (typeof LossCause)[keyof typeof LossCause];
 
-/** Times in which nothing could be decided, by cause. */
-export type Spells = Readonly<Record<SpellCause, readonly Spell[]>>;
+/** Periods in which the scheduler could not make decisions, by cause. */
+export type Disruptions = Readonly<Record<DisruptionCause, readonly TimeRange[]>>;
 
-type SpellCause = (typeof SPELL_CAUSES)[number];
+type DisruptionCause = (typeof DISRUPTION_CAUSES)[number];
 
-const SPELL_CAUSES = [
+const DISRUPTION_CAUSES = [
     LossCause.noLeader,
     LossCause.journalLoading,
     LossCause.leaderLate,
-    LossCause.storeAway,
+    LossCause.storeUnavailable,
 ] as const;
 
-/** From an instant to another, wall-clock. */
-export interface Spell {
+/** Time range in wall-clock milliseconds. */
+export interface TimeRange {
     readonly from: number;
     readonly to: number;
 }
 
-/** How often a leader says how it is; a silence of twice that is one. */
-const STATE_EVERY_MS: Millis = 1_000;
-/** A leader whose regular lines are this far apart had no processor time for them. */
+/** Interval at which a leader logs `leaderState`. */
+const STATE_INTERVAL_MS: Millis = 1_000;
+/** A leader whose `leaderState` lines are further apart than this was short of CPU time. */
 const LATE_STATE_MS: Millis = 1_600;
 
-/** Finds the spells in which nobody led, a leader loaded the journal or was late, or the store did not answer it. */
-export function findSpells(lines: readonly LogLine[]): Spells {
-    const spells: Record<SpellCause, Spell[]> = {
+/** Finds the periods without a leader, with a leader that loads the journal or is late, and without the store. */
+export function findDisruptions(lines: readonly LogLine[]): Disruptions {
+    const disruptions: Record<DisruptionCause, TimeRange[]> = {
         [LossCause.noLeader]: [],
         [LossCause.journalLoading]: [],
         [LossCause.leaderLate]: [],
-        [LossCause.storeAway]: [],
+        [LossCause.storeUnavailable]: [],
     };
-    let lastSign: number | undefined;
+    let lastActivityAt: number | undefined;
     let wonAt: number | undefined;
-    let awaySince: number | undefined;
+    let unavailableSince: number | undefined;
     let lastState: LogLine | undefined;
     for (const line of lines) {
         const { event, time, fields, member } = line;
@@ -68,40 +68,43 @@
         }
         if (event === "leadershipReady") {
             const loadedFrom = wonAt ?? time;
-            if (lastSign !== undefined) {
-                spells[LossCause.noLeader].push({ from: lastSign, to: Math.max(lastSign, loadedFrom) });
+            if (lastActivityAt !== undefined) {
+                disruptions[LossCause.noLeader].push({
+                    from: lastActivityAt,
+                    to: Math.max(lastActivityAt, loadedFrom),
+                });
             }
-            spells[LossCause.journalLoading].push({
-                from: Math.max(lastSign ?? loadedFrom, loadedFrom),
+            disruptions[LossCause.journalLoading].push({
+                from: Math.max(lastActivityAt ?? loadedFrom, loadedFrom),
                 to: time,
             });
             lastState = undefined;
         }
         if (event === "leadershipReady" || event === "leaderState" || event === "runOrdered") {
-            lastSign = time;
+            lastActivityAt = time;
         }
         if (event === "leaderState") {
-            const isAway = fields.storeAway === true;
-            if (!isAway && awaySince !== undefined) {
-                spells[LossCause.storeAway].push({ from: awaySince, to: time });
+            const isUnavailable = fields.storeAway === true;
+            if (!isUnavailable && unavailableSince !== undefined) {
+                disruptions[LossCause.storeUnavailable].push({ from: unavailableSince, to: time });
             }
-            awaySince = isAway ? awaySince ?? time - STATE_EVERY_MS : undefined;
-            if (lastState?.member === member && !isAway && time - lastState.time > LATE_STATE_MS) {
-                spells[LossCause.leaderLate].push({ from: lastState.time, to: time });
+            unavailableSince = isUnavailable ? unavailableSince ?? time - STATE_INTERVAL_MS : undefined;
+            if (lastState?.member === member && !isUnavailable && time - lastState.time > LATE_STATE_MS) {
+                disruptions[LossCause.leaderLate].push({ from: lastState.time, to: time });
             }
             lastState = line;
         }
     }
-    return spells;
+    return disruptions;
 }
 
 /**
- * Attributes a job's time to causes. Runs that ended well are work and count for nothing here.
+ * Attributes a job's time to causes. Successful runs are work and count towards no cause.
  * @param job - A job that has closed.
- * @param spells - Of the same lines.
+ * @param disruptions - Disruptions found in the same log lines.
  * @returns Milliseconds by cause.
  */
-export function measureCauses(job: JobTimeline, spells: Spells): ReadonlyMap<LossCause, Millis> {
+export function measureCauses(job: JobTimeline, disruptions: Disruptions): ReadonlyMap<LossCause, Millis> {
     const causes = new Map<LossCause, Millis>();
     const add = (cause: LossCause, ms: Millis): void => {
         if (ms > 0) {
@@ -109,13 +112,13 @@
         }
     };
     const span = { from: job.acceptedAt, to: job.closedAt ?? job.acceptedAt };
-    SPELL_CAUSES.forEach(cause => add(cause, measureOverlap(spells[cause], span)));
+    DISRUPTION_CAUSES.forEach(cause => add(cause, measureOverlap(disruptions[cause], span)));
     let readyAt = job.acceptedAt;
     for (const step of listStepsInOrder(job)) {
         const orderedAt = Math.min(...step.runs.map(run => run.orderedAt));
         const permittedAt = Math.min(orderedAt, Math.max(readyAt, step.permittedAt ?? readyAt));
-        add(LossCause.permits, measureFree(spells, { from: readyAt, to: permittedAt }));
-        add(LossCause.room, measureFree(spells, { from: permittedAt, to: orderedAt }));
+        add(LossCause.permits, measureUndisrupted(disruptions, { from: readyAt, to: permittedAt }));
+        add(LossCause.capacity, measureUndisrupted(disruptions, { from: permittedAt, to: orderedAt }));
         step.runs.forEach(run => add(chooseRepeatCause(run), measureRepeat(run, step)));
         readyAt = Math.max(readyAt, ...step.runs.map(run => run.endedAt ?? run.orderedAt));
     }
@@ -123,10 +126,10 @@
 }
 
 /**
- * Names the cause that took most of a late job's time.
- * @returns Undefined where the job was in time, or where nothing is known of its objective.
+ * Chooses the cause that took most of a late job's time.
+ * @returns Undefined if the job is not closed, was on time, or its objective is unknown.
  */
-export function chooseMainCause(job: JobTimeline, spells: Spells): LossCause | undefined {
+export function chooseMainCause(job: JobTimeline, disruptions: Disruptions): LossCause | undefined {
     if (job.closedAt === undefined || job.objectiveMs === undefined) {
         return undefined;
     }
@@ -134,12 +137,12 @@
     if (excess <= 0) {
         return undefined;
     }
-    const [cause, ms] = [...measureCauses(job, spells)]
+    const [cause, ms] = [...measureCauses(job, disruptions)]
         .reduce(
             (best, entry) => entry[1] > best[1] ? entry : best,
             [LossCause.longRuns, 0] as [LossCause, Millis],
         );
-    // What explains less than half of the excess does not explain it.
+    // A cause that accounts for less than half of the excess does not explain it.
     return ms >= excess / 2 ? cause : LossCause.longRuns;
 }
 
@@ -153,22 +156,22 @@
     return run.end === "failed" ? LossCause.failedRuns : LossCause.lostRuns;
 }
 
-/** Time of a run that had to be repeated, as far as it delayed its step: the longest of them counts for the step. */
+/** Returns the duration of a retried run if it delayed its step, i.e. its task has the step's last successful run. */
 function measureRepeat(run: RunTimeline, step: StepTimeline): Millis {
     const isRepeated = run.endedAt !== undefined && run.end !== "done" && run.end !== "stopped";
     const wasLast = step.runs.findLast(other => other.end === "done")?.task === run.task;
     return isRepeated && wasLast ? (run.endedAt ?? 0) - run.orderedAt : 0;
 }
 
-function measureOverlap(spells: readonly Spell[], { from, to }: Spell): Millis {
-    return spells.reduce(
-        (sum, spell) => sum + Math.max(0, Math.min(to, spell.to) - Math.max(from, spell.from)),
+function measureOverlap(disruptions: readonly TimeRange[], { from, to }: TimeRange): Millis {
+    return disruptions.reduce(
+        (sum, disruption) => sum + Math.max(0, Math.min(to, disruption.to) - Math.max(from, disruption.from)),
         0,
     );
 }
 
-/** Time outside all spells. */
-function measureFree(spells: Spells, span: Spell): Millis {
-    const taken = SPELL_CAUSES.reduce((sum, cause) => sum + measureOverlap(spells[cause], span), 0);
+/** Measures the part of a time range that is outside all disruptions. */
+function measureUndisrupted(disruptions: Disruptions, span: TimeRange): Millis {
+    const taken = DISRUPTION_CAUSES.reduce((sum, cause) => sum + measureOverlap(disruptions[cause], span), 0);
     return Math.max(0, span.to - span.from - taken);
 }
--- a/bench/losses/job-timeline.ts
+++ b/bench/losses/job-timeline.ts
@@ -1,27 +1,24 @@
-/** What the lines of all nodes say of each job: when it was accepted, ordered, ended and closed. */
+/** Rebuilds each job's timeline (accepted, ordered, ended, closed) from the log lines of all nodes. */
 import type { Millis } from "../../src/common/clock.js";
 import { formatStepName, parseTaskName } from "../../src/process/jobs/job-spec.js";
 import type { LogLine } from "./log-lines.js";
 
-/** One run of a task. */
 export interface RunTimeline {
     readonly task: string;
     readonly run: number;
     readonly orderedAt: number;
     endedAt: number | undefined;
-    /** How it ended; undefined while that is not known. */
+    /** Outcome of the run; undefined if unknown. */
     end: string | undefined;
 }
 
-/** One step of a job. */
 export interface StepTimeline {
     readonly name: string;
-    /** When its first answer of the advice service came; undefined where it needed none. */
+    /** When the advice service first answered its request; undefined if it needed no advice. */
     permittedAt: number | undefined;
     readonly runs: RunTimeline[];
 }
 
-/** One job. */
 export interface JobTimeline {
     readonly jobId: string;
     readonly queue: string;
@@ -29,28 +26,28 @@
     readonly steps: Map<string, StepTimeline>;
     closedAt: number | undefined;
     phase: string | undefined;
-    /** What the leader expected it to take for its objective. */
+    /** Target duration of the job in milliseconds, as logged by the leader when it closed the job. */
     objectiveMs: Millis | undefined;
 }
 
 type Handler = (jobs: Map<string, JobTimeline>, line: LogLine) => void;
 
 const HANDLERS: Readonly<Record<string, Handler>> = {
-    jobDecided: acceptJob,
-    adviceGiven: acceptPermits,
-    runOrdered: acceptOrder,
-    runEnded: acceptEnd,
-    jobClosed: closeJob,
+    jobDecided: recordJob,
+    adviceGiven: recordPermit,
+    runOrdered: recordOrder,
+    runEnded: recordEnd,
+    jobClosed: recordClose,
 };
 
-/** Builds the timelines of all jobs whose acceptance stands in the lines, in the order of their acceptance. */
+/** Builds the timelines of all jobs whose acceptance was logged, in order of acceptance. */
 export function buildTimelines(lines: readonly LogLine[]): readonly JobTimeline[] {
     const jobs = new Map<string, JobTimeline>();
     lines.forEach(line => HANDLERS[line.event]?.(jobs, line));
     return [...jobs.values()];
 }
 
-function acceptJob(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
+function recordJob(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
     const jobId = String(fields.jobId);
     if (fields.outcome === "accepted" && !jobs.has(jobId)) {
         jobs.set(jobId, {
@@ -65,14 +62,14 @@
     }
 }
 
-function acceptPermits(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
+function recordPermit(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
     const step = findStep(jobs, String(fields.step));
     if (step !== undefined && fields.answer === "done") {
         step.permittedAt ??= time;
     }
 }
 
-function acceptOrder(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
+function recordOrder(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
     const task = String(fields.task);
     const tookMs = Number(fields.tookMs ?? 0);
     findStepOfTask(jobs, task)?.runs.push({
@@ -84,7 +81,7 @@
     });
 }
 
-function acceptEnd(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
+function recordEnd(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
     const { task, run } = fields;
     const found = findStepOfTask(jobs, String(task))?.runs
         .findLast(other => other.task === task && other.run === run);
@@ -94,7 +91,7 @@
     }
 }
 
-function closeJob(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
+function recordClose(jobs: Map<string, JobTimeline>, { time, fields }: LogLine): void {
     const job = jobs.get(String(fields.jobId));
     if (job !== undefined) {
         job.closedAt = time;
--- a/bench/losses/log-lines.ts
+++ b/bench/losses/log-lines.ts
@@ -1,18 +1,17 @@
-/** Log lines of nodes, as they stand in a file of one or more nodes' standard output. */
+/** Parses node log lines from a file with the standard output of one or more nodes. */
 
-/** One line. */
 export interface LogLine {
     /** Wall-clock time of the node, in milliseconds since 1970. */
     readonly time: number;
-    /** Node that wrote it. */
+    /** Name of the node that wrote the line. */
     readonly member: string;
     readonly event: string;
     readonly fields: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Parses lines, in the order of their times; what is no line of a node is passed over.
- * @param text - The file. A collector may have put something before each line.
+ * Parses log lines and sorts them by time; text that is not a node's log line is skipped.
+ * @param text - File contents. Each line may have a prefix added by a log collector.
  */
 export function parseLogLines(text: string): readonly LogLine[] {
     return text
@@ -31,7 +30,7 @@
         fields = JSON.parse(line.slice(begin)) as Record<string, unknown>;
     }
     catch {
-        // A line that was cut short says nothing for certain.
+        // A truncated line is not reliable.
         return [];
     }
     const { time, member, event } = fields;
--- a/bench/losses/main.ts
+++ b/bench/losses/main.ts
@@ -1,9 +1,9 @@
 /**
- * Says why jobs were late, from the lines of all nodes: `npm run losses -- FILE…`. Each late job counts for the cause that
- * took most of its time; jobs without a line of their end are not judged.
+ * Reports why jobs were late, from the log lines of all nodes: `npm run losses -- FILE…`. Each late job counts towards
+ * the cause that took most of its time; jobs whose end was not logged are not counted as late.
  */
 import { readFileSync } from "node:fs";
-import { chooseMainCause, findSpells, LossCause } from "./causes.js";
+import { chooseMainCause, findDisruptions, LossCause } from "./causes.js";
 import { buildTimelines } from "./job-timeline.js";
 import type { JobTimeline } from "./job-timeline.js";
 import { parseLogLines } from "./log-lines.js";
@@ -18,14 +18,14 @@
     process.exit(1);
 }
 const lines = parseLogLines(files.map(file => readFileSync(file, "utf8")).join("\n"));
-const spells = findSpells(lines);
+const disruptions = findDisruptions(lines);
 const queues = new Map<string, JobTimeline[]>();
 for (const job of buildTimelines(lines)) {
     queues.set(job.queue, [...queues.get(job.queue) ?? [], job]);
 }
 printRow("queue", "jobs", "closed", "late", ...CAUSES);
 for (const [queue, jobs] of queues) {
-    const causes = jobs.flatMap(job => chooseMainCause(job, spells) ?? []);
+    const causes = jobs.flatMap(job => chooseMainCause(job, disruptions) ?? []);
     const counts = CAUSES.map(cause => causes.filter(other => other === cause).length);
     const closed = jobs.filter(job => job.closedAt !== undefined).length;
     printRow(queue, jobs.length, closed, causes.length, ...counts);
--- a/bench/soak/build-program.ts
+++ b/bench/soak/build-program.ts
@@ -1,9 +1,9 @@
-/** Builds the nodes' program where a run wants it. */
+/** Builds the node program that the soak starts. */
 import { execFileSync } from "node:child_process";
 
 /**
- * Builds the program.
- * @param path - File to write.
+ * Builds the node program with `scripts/build-node.mjs`.
+ * @param path - Output file.
  */
 export function buildProgram(path: string): void {
     execFileSync(process.execPath, ["scripts/build-node.mjs", path], { stdio: "inherit" });
--- a/bench/soak/callers.ts
+++ b/bench/soak/callers.ts
@@ -1,69 +1,68 @@
-/** Callers that hand jobs in, ask for them and cancel some, over connections that they keep while the node lives. */
+/** Simulated callers that submit jobs, poll their state and cancel some, over keep-alive connections to the nodes. */
 import { sleep, systemClock } from "../../src/common/clock.js";
 import type { Random } from "../../src/common/random.js";
 import { isFinal } from "./checker.js";
 import type { ShownState, SoakChecker } from "./checker.js";
 import type { JobSource, SoakJob } from "./job-source.js";
 
-/** One call of a caller; a rejected promise means that no answer came. */
-export interface CallerWay {
+/** Client for the caller API; a rejected promise means that no response arrived. */
+export interface JobClient {
     submit(address: string, job: SoakJob): Promise<"accepted" | "refused" | "unknown">;
     show(address: string, jobId: string): Promise<ShownState | undefined>;
-    /** Whether it was acknowledged. */
+    /** Resolves to true if the node acknowledged the cancellation. */
     cancel(address: string, jobId: string): Promise<boolean>;
 }
 
-/** What callers are made from. */
 export interface CallersOptions {
-    readonly way: CallerWay;
+    readonly client: JobClient;
     readonly jobs: JobSource;
     readonly checker: SoakChecker;
     readonly random: Random;
-    /** Addresses of the nodes that take callers now. */
+    /** Addresses of the nodes that accept callers at present. */
     readonly listAddresses: () => readonly string[];
 }
 
-/** Attempts to hand a job in before a caller that is refused gives up. */
+/** Attempts to submit a job before the caller gives up. */
 const MAX_ATTEMPTS = 5;
 const RETRY_MS = 250;
 const PAUSE_SPREAD_MS = 150;
-const LOOK_MS = 120;
+const POLL_INTERVAL_MS = 120;
 const CANCEL_ONE_IN = 10;
-/** Looks at one job before the caller turns to the next; what has not ended is looked at again at the end. */
-const MAX_LOOKS = 30;
-const SETTLE_LOOK_MS = 300;
+/** Polls of one job before the caller goes on to the next; `settle` polls jobs that have not ended by then. */
+const MAX_POLLS = 30;
+const SETTLE_POLL_INTERVAL_MS = 300;
 
-/** A group of callers. */
+/** A group of concurrent callers; each submits one job at a time and follows it. */
 export class SoakCallers {
     private stopped = false;
     private readonly loops: Promise<void>[] = [];
-    /** Jobs that a caller may hold for accepted and whose end nobody has seen. */
-    private readonly open = new Set<string>();
+    /** Accepted jobs for which no caller has seen a final state. */
+    private readonly openJobs = new Set<string>();
 
     constructor(private readonly options: CallersOptions) {}
 
-    /** Starts some callers. */
+    /** Starts `count` callers in addition to those that run. */
     start(count: number): void {
         for (let number = 0; number < count; number++) {
             this.loops.push(this.runCaller());
         }
     }
 
-    /** Lets all callers finish the job that they are at. */
+    /** Stops the callers; resolves once each has finished its current job. */
     async stop(): Promise<void> {
         this.stopped = true;
         await Promise.all(this.loops);
     }
 
     /**
-     * Asks for all jobs that have not ended, again and again.
-     * @param limitMs - When to give up.
+     * Polls all open jobs until they have ended.
+     * @param limitMs - Timeout in milliseconds, after which the remaining jobs stay open.
      */
     async settle(limitMs: number): Promise<void> {
         const begin = systemClock.now();
-        while (this.open.size > 0 && systemClock.now() - begin < limitMs) {
-            await Promise.all([...this.open].map(jobId => this.checkJob(jobId)));
-            await sleep(systemClock, SETTLE_LOOK_MS);
+        while (this.openJobs.size > 0 && systemClock.now() - begin < limitMs) {
+            await Promise.all([...this.openJobs].map(jobId => this.checkJob(jobId)));
+            await sleep(systemClock, SETTLE_POLL_INTERVAL_MS);
         }
     }
 
@@ -75,8 +74,8 @@
             if (random.pickInt(CANCEL_ONE_IN) === 0) {
                 await this.cancel(job.id);
             }
-            for (let looks = 0; looks < MAX_LOOKS && this.open.has(job.id); looks++) {
-                await sleep(systemClock, LOOK_MS);
+            for (let polls = 0; polls < MAX_POLLS && this.openJobs.has(job.id); polls++) {
+                await sleep(systemClock, POLL_INTERVAL_MS);
                 await this.checkJob(job.id);
             }
             await sleep(systemClock, random.pickInt(PAUSE_SPREAD_MS));
@@ -84,12 +83,12 @@
     }
 
     private async submit(job: SoakJob): Promise<void> {
-        const { way, checker } = this.options;
+        const { client, checker } = this.options;
         for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-            const answer = await this.call(address => way.submit(address, job)) ?? "unknown";
+            const answer = await this.call(address => client.submit(address, job)) ?? "unknown";
             checker.observeSubmit(job.id, answer);
             if (answer === "accepted") {
-                this.open.add(job.id);
+                this.openJobs.add(job.id);
                 return;
             }
             await sleep(systemClock, RETRY_MS);
@@ -97,26 +96,26 @@
     }
 
     private async checkJob(jobId: string): Promise<void> {
-        const { way, checker } = this.options;
-        const state = await this.call(address => way.show(address, jobId));
+        const { client, checker } = this.options;
+        const state = await this.call(address => client.show(address, jobId));
         if (state === undefined) {
             return;
         }
         checker.observeState(jobId, state);
         if (isFinal(state)) {
-            this.open.delete(jobId);
+            this.openJobs.delete(jobId);
         }
     }
 
     private async cancel(jobId: string): Promise<void> {
-        const { way, checker } = this.options;
+        const { client, checker } = this.options;
         checker.observeCancelSent(jobId);
-        if (await this.call(address => way.cancel(address, jobId)) === true) {
+        if (await this.call(address => client.cancel(address, jobId)) === true) {
             checker.observeCancelled(jobId);
         }
     }
 
-    /** Calls any node; no answer is an answer that tells nothing. */
+    /** Sends a call to a random node; resolves to undefined if no response arrives. */
     private async call<Answer>(send: (address: string) => Promise<Answer>): Promise<Answer | undefined> {
         const addresses = this.options.listAddresses();
         const address = addresses[this.options.random.pickInt(Math.max(1, addresses.length))];
@@ -127,7 +126,7 @@
             return await send(address);
         }
         catch {
-            // The node died or the connection broke: for the caller that is the same as silence.
+            // To the caller, a dead node or a broken connection is the same as no response.
             return undefined;
         }
     }
--- a/bench/soak/checker.ts
+++ b/bench/soak/checker.ts
@@ -1,9 +1,8 @@
 /**
- * Judges the promises while a run goes on, from what callers and workers see. It knows nothing of the nodes.
+ * Checks the scheduler's guarantees during a run, from the observations of callers and workers only.
  *
- * @remarks Workers report to it what they do at the moment that they do it, so what it sees is in the order in which it
- * happened. Callers' answers are taken in when they arrive, which is later than they were given: each check allows for
- * that.
+ * @remarks Workers report each action as it happens, so these observations are in true order. Callers' responses are
+ * observed when they arrive, which is later than they were sent; each check allows for that delay.
  */
 import type { Clock, Millis } from "../../src/common/clock.js";
 import { isWithin } from "../../src/common/resources.js";
@@ -13,74 +12,74 @@
 import type { StepSpec, TaskRef } from "../../src/process/jobs/job-spec.js";
 import type { JobSource } from "./job-source.js";
 
-/** The promises. */
-export const SoakPromise = {
-    /** A worker never has more than it can hold. */
+/** The guarantees that are checked. */
+export const SoakGuarantee = {
+    /** A worker's tasks never exceed its capacity. */
     capacity: "capacity",
-    /** A task runs in one place at a time. */
+    /** A task runs on one worker at a time. */
     onePlace: "onePlace",
-    /** A task whose end is durable never runs again. */
+    /** A task whose successful end is durable never runs again. */
     neverAgain: "neverAgain",
-    /** A step waits for the steps that it depends on. */
+    /** A step starts only after the steps that it depends on. */
     order: "order",
-    /** Nothing runs that nobody asked for, as nobody asked for it, or long after it was cancelled. */
+    /** Only submitted tasks run, with the submitted payload, and none starts long after its job was cancelled. */
     asked: "asked",
-    /** A job whose every acceptance was refused never runs. */
+    /** A job whose every submission was refused never runs. */
     trueRefusal: "trueRefusal",
-    /** What callers are told of a job is true, and an end is never taken back. */
+    /** The job states shown to callers are correct, and a final state never changes. */
     trueState: "trueState",
-    /** An accepted job is known and ends. */
+    /** An accepted job is never unknown, and it ends. */
     kept: "kept",
 } as const;
-export type SoakPromise = (typeof SoakPromise)[keyof typeof SoakPromise];
+export type SoakGuarantee = (typeof SoakGuarantee)[keyof typeof SoakGuarantee];
 
-/** A promise that was broken. */
+/** A guarantee that was violated. */
 export interface SoakViolation {
-    readonly promise: SoakPromise;
+    readonly guarantee: SoakGuarantee;
     readonly atMs: Millis;
     readonly message: string;
 }
 
-/** What a caller was told of a job. */
+/** Job state as shown to a caller. */
 export type ShownState = JobPhase | "unknownJob";
-/** States after which nothing changes any more. */
+/** States that a job never leaves. */
 type FinalState = Extract<JobPhase, "completed" | "failed" | "cancelled">;
 
-/** A task may still be started for this long after its job's cancellation was acknowledged: orders are under way. */
+/** How long a task may still start after its job's cancellation was acknowledged, as orders may be in flight. */
 const CANCEL_LIMIT_MS: Millis = 4_000;
 
 interface JobEvidence {
     accepted: boolean;
     refusals: number;
-    /** Attempts of which the caller heard no answer. */
+    /** Submissions that got no response. */
     unknowns: number;
     cancelSentAt: Millis | undefined;
     cancelledAt: Millis | undefined;
     starts: number;
-    /** Tasks that have ended as done, by name. */
+    /** Names of the tasks that have ended as done. */
     readonly done: Set<string>;
     finalState: FinalState | undefined;
 }
 
-/** The checker; see the module comment. */
+/** Collects observations and records every violation of a guarantee. */
 export class SoakChecker {
     readonly violations: SoakViolation[] = [];
     private readonly evidence = new Map<string, JobEvidence>();
-    /** Where each task runs. */
+    /** IDs of the workers that run each task, by task name. */
     private readonly running = new Map<string, Set<string>>();
-    /** Tasks whose end as done a worker was allowed to forget. */
-    private readonly settled = new Set<string>();
+    /** Tasks whose successful end was acknowledged to a worker as durable. */
+    private readonly acknowledged = new Set<string>();
     private readonly begin: Millis;
 
     /**
-     * @param clock - Stamps what is seen.
-     * @param jobs - What callers have handed in.
+     * @param clock - Timestamps the observations.
+     * @param jobs - Source of the jobs that callers submit.
      */
     constructor(private readonly clock: Clock, private readonly jobs: JobSource) {
         this.begin = clock.now();
     }
 
-    /** Counts jobs by what callers know of them at last. */
+    /** Counts jobs by the outcomes that callers have seen. */
     countJobs(): Readonly<Record<"accepted" | "refused" | "ended", number>> {
         const all = [...this.evidence.values()];
         return {
@@ -90,7 +89,7 @@
         };
     }
 
-    /** A caller was answered. */
+    /** Records the response to a submission. */
     observeSubmit(jobId: string, answer: "accepted" | "refused" | "unknown"): void {
         const job = this.getEvidence(jobId);
         job.accepted ||= answer === "accepted";
@@ -98,17 +97,17 @@
         job.unknowns += answer === "unknown" ? 1 : 0;
     }
 
-    /** A caller is about to cancel. */
+    /** Records that a caller is about to send a cancellation. */
     observeCancelSent(jobId: string): void {
         this.getEvidence(jobId).cancelSentAt ??= this.clock.now();
     }
 
-    /** A cancellation was acknowledged. */
+    /** Records that a cancellation was acknowledged. */
     observeCancelled(jobId: string): void {
         this.getEvidence(jobId).cancelledAt ??= this.clock.now();
     }
 
-    /** A caller was told a state. */
+    /** Checks and records a job state shown to a caller. */
     observeState(jobId: string, state: ShownState): void {
         const job = this.getEvidence(jobId);
         if (state === "unknownJob") {
@@ -126,10 +125,19 @@
         }
     }
 
-    /** A worker began a run. */
-    observeStart(workerId: string, task: string, payload: string, used: Resources, room: Resources): void {
-        if (!isWithin(used, room)) {
-            this.report("capacity", `${workerId} was given ${task} beyond its room: ${JSON.stringify(used)}`);
+    /** Checks and records the start of a run on a worker. */
+    observeStart(
+        workerId: string,
+        task: string,
+        payload: string,
+        used: Resources,
+        workerCapacity: Resources,
+    ): void {
+        if (!isWithin(used, workerCapacity)) {
+            this.report(
+                "capacity",
+                `${workerId} was given ${task} beyond its capacity: ${JSON.stringify(used)}`,
+            );
         }
         const ref = parseTaskName(task);
         const job = ref && this.jobs.find(ref.jobId);
@@ -144,7 +152,7 @@
         this.getEvidence(ref.jobId).starts += 1;
     }
 
-    /** A run ended on a worker, or with it. */
+    /** Records the end of a run, be it on its own or by the loss of its worker. */
     observeEnd(workerId: string, task: string, end: RunEnd): void {
         this.running.get(task)?.delete(workerId);
         const ref = parseTaskName(task);
@@ -153,12 +161,12 @@
         }
     }
 
-    /** A worker was told that the end of a run as done is durable. */
+    /** Records that a worker was told that a task's successful end is durable. */
     observeAcknowledged(task: string): void {
-        this.settled.add(task);
+        this.acknowledged.add(task);
     }
 
-    /** Judges what only the end of a run shows. */
+    /** Makes the checks that need the end of the soak run. */
     finish(): void {
         for (const [jobId, job] of this.evidence) {
             const wasRefused = job.refusals > 0 && job.unknowns === 0 && !job.accepted;
@@ -177,7 +185,7 @@
             this.report("onePlace", `${task} was started on ${workerId} and runs on ${[...places].join()}`);
         }
         this.running.set(task, places.add(workerId));
-        if (this.settled.has(task)) {
+        if (this.acknowledged.has(task)) {
             this.report("neverAgain", `${task} was started on ${workerId} after its end was durable`);
         }
         const limit = step.maxPerWorker ?? Infinity;
@@ -219,7 +227,7 @@
         }
     }
 
-    /** One member of a gang that has ended as done stands for all. */
+    /** A gang is done as soon as one of its members has ended as done. */
     private isStepDone(jobId: string, number: number): boolean {
         const step = this.jobs.find(jobId)?.spec.steps[number];
         const done = this.evidence.get(jobId)?.done;
@@ -249,17 +257,19 @@
         return created;
     }
 
-    private report(promise: SoakPromise, message: string): void {
-        this.violations.push({ promise, atMs: Math.round(this.clock.now() - this.begin), message });
+    private report(violated: SoakGuarantee, message: string): void {
+        this.violations.push({
+            guarantee: violated,
+            atMs: Math.round(this.clock.now() - this.begin),
+            message,
+        });
     }
 }
 
-/** Tells whether a state is the last one. */
 export function isFinal(state: ShownState): state is FinalState {
     return state === "completed" || state === "failed" || state === "cancelled";
 }
 
-/** Names the tasks of a step. */
 function listTaskNames(ref: Omit<TaskRef, "index">, step: StepSpec): readonly string[] {
     return Array.from({ length: step.taskCount }, (...[, index]) => formatTaskName({ ...ref, index }));
 }
--- a/bench/soak/fault-plan.ts
+++ b/bench/soak/fault-plan.ts
@@ -1,69 +1,65 @@
-/** What goes wrong when, from a seed: faults in series, overlapping, and the same one twice. Pure. */
+/** Builds a seeded schedule of faults: consecutive, overlapping and repeated ones. */
 import type { Random } from "../../src/common/random.js";
 
-/** Kinds of faults. */
 export const FaultKind = {
     /** A node's process is killed. */
     nodeKilled: "nodeKilled",
     /** All nodes are killed at the same moment. */
     allKilled: "allKilled",
-    /** A node is told to stop and is started again. */
+    /** A node is stopped by SIGTERM and started again. */
     nodeStopped: "nodeStopped",
-    /** A node stands still and goes on. */
+    /** A node is suspended for a while and resumes. */
     nodeFrozen: "nodeFrozen",
-    /** A node is told that its settings file has changed. */
+    /** A node is told by SIGHUP to reload its settings file. */
     nodeReloaded: "nodeReloaded",
-    /** A node's connections to the store are delayed, reset, silent, or lose answers. */
+    /** A node's connections to the store are delayed, reset, silent, or lose responses. */
     storePathDelayed: "storePathDelayed",
     storePathReset: "storePathReset",
     storePathSilent: "storePathSilent",
     storeAnswersLost: "storeAnswersLost",
     /** The store refuses every call. */
     storeBusy: "storeBusy",
-    /** Writes are carried out seconds after their call was given up. */
+    /** Writes are executed seconds after their caller gave up on them. */
     storeLate: "storeLate",
-    /** The store forgets its history: watches start anew. */
+    /** The store compacts its history, so that watches must start again. */
     storeCompacted: "storeCompacted",
     workerPathSilent: "workerPathSilent",
     workerPathReset: "workerPathReset",
     workerAnswersLost: "workerAnswersLost",
-    /** A worker dies; a new life answers at its address. */
+    /** A worker dies; a new incarnation answers at its address. */
     workerReborn: "workerReborn",
-    /** A worker leaves and comes back. */
+    /** A worker is draining for a while. */
     workerDrained: "workerDrained",
     advicePathSilent: "advicePathSilent",
-    /** The operator puts a newer configuration in force. */
+    /** The operator publishes a newer configuration. */
     configChanged: "configChanged",
 } as const;
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** One fault. */
 export interface PlannedFault {
     readonly kind: FaultKind;
     readonly atMs: number;
     readonly forMs: number;
-    /** Which node or worker, modulo how many there are. */
+    /** Index of the node or worker, modulo their number. */
     readonly target: number;
 }
 
-/** What a plan is made for. */
 export interface PlanScope {
     readonly lengthMs: number;
-    /** Mean time between the begins of two faults. */
+    /** Mean time between the starts of two faults. */
     readonly gapMs: number;
 }
 
 const LONGEST_FAULT_MS = 3_000;
 const SHORTEST_FAULT_MS = 150;
-const TARGETS = 1_000;
-/** One fault in so many comes again a moment later, on top of itself. */
+const TARGET_RANGE = 1_000;
+/** One fault in this many is repeated within REPEAT_SPREAD_MS, so that it may overlap with itself. */
 const REPEAT_ONE_IN = 5;
 const REPEAT_SPREAD_MS = 400;
 
 /**
- * Makes a plan.
- * @param random - Equal seeds give equal plans.
- * @param scope - How long and how dense.
+ * Builds a fault plan, in order of start times.
+ * @param random - Source of randomness; equal seeds give equal plans.
  */
 export function buildFaultPlan(random: Random, scope: PlanScope): readonly PlannedFault[] {
     const kinds = Object.values(FaultKind);
@@ -74,7 +70,7 @@
             kind: kinds[random.pickInt(kinds.length)] ?? FaultKind.nodeKilled,
             atMs,
             forMs: SHORTEST_FAULT_MS + random.pickInt(LONGEST_FAULT_MS - SHORTEST_FAULT_MS),
-            target: random.pickInt(TARGETS),
+            target: random.pickInt(TARGET_RANGE),
         };
         faults.push(fault);
         if (random.pickInt(REPEAT_ONE_IN) === 0) {
--- a/bench/soak/scene.ts
+++ b/bench/soak/fixture.ts
@@ -1,4 +1,4 @@
-/** Puts a run together: the platform's stand-ins, proxies in front of them, and the nodes' processes. */
+/** Sets up a soak run: the platform's stand-ins, proxies in front of them, and the node processes. */
 import { mkdirSync } from "node:fs";
 import { Agent } from "undici";
 import { CallerClient } from "../../platform/stand-ins/caller-client.js";
@@ -6,40 +6,39 @@
 import type { StandInWorker } from "../../platform/stand-ins/stand-in-platform.js";
 import { sleep, systemClock } from "../../src/common/clock.js";
 import { createRandom } from "../../src/common/random.js";
-import type { CallerWay } from "./callers.js";
+import type { JobClient } from "./callers.js";
 import { SoakChecker } from "./checker.js";
 import { JobSource, WORKER_CAPACITY } from "./job-source.js";
 import { NodeProcess } from "./node-process.js";
-import type { SoakNode, SoakScene, SoakWorker } from "./soak-run.js";
+import type { SoakFixture, SoakNode, SoakWorker } from "./soak-run.js";
 import { TcpProxy } from "./tcp-proxy.js";
 
-/** How large a run is. */
-export interface SceneOptions {
+export interface FixtureOptions {
     readonly seed: number;
     readonly nodes: number;
     readonly workers: number;
     /** Folder for settings files and logs. */
     readonly folder: string;
-    /** The nodes' program. */
+    /** Path of the node program. */
     readonly program: string;
-    /** Program of nodes with even numbers, such as an earlier build; the same program if left out. */
+    /** Program of nodes with even numbers, such as an earlier build; defaults to `program`. */
     readonly otherProgram?: string;
 }
 
-/** A scene that has to be closed. */
-export interface OpenScene extends SoakScene {
+/** A running fixture; its owner must close it. */
+export interface OpenFixture extends SoakFixture {
     close(): Promise<void>;
 }
 
 const CALLER_SEED_OFFSET = 2_000_003;
 const PLATFORM_SEED_OFFSET = 3_000_017;
-const START_LIMIT_MS = 30_000;
-const START_LOOK_MS = 50;
+const START_TIMEOUT_MS = 30_000;
+const START_POLL_INTERVAL_MS = 50;
 
-/** Starts everything and waits until the nodes take callers. */
-export async function openScene(options: SceneOptions): Promise<OpenScene> {
+/** Starts all parts and waits until every node accepts callers. */
+export async function openFixture(options: FixtureOptions): Promise<OpenFixture> {
     mkdirSync(options.folder, { recursive: true });
-    // Streams of their own: which jobs there are must not depend on when callers and workers draw.
+    // Separate random streams: the jobs must not depend on when callers and workers draw random numbers.
     const jobs = new JobSource(createRandom(options.seed));
     const random = createRandom(options.seed + CALLER_SEED_OFFSET);
     const checker = new SoakChecker(systemClock, jobs);
@@ -61,7 +60,7 @@
         nodes,
         workers,
         services: platform,
-        way: createCallerWay(agent),
+        client: createJobClient(agent),
         jobs,
         checker,
         random,
@@ -80,13 +79,13 @@
     worker.register(path.address);
     return {
         path,
-        replaceLife: () => worker.replaceIncarnation(),
+        replaceIncarnation: () => worker.replaceIncarnation(),
         setDraining: isDraining => worker.setDraining(isDraining),
     };
 }
 
 async function openNode(
-    { folder, program, otherProgram = program }: SceneOptions,
+    { folder, program, otherProgram = program }: FixtureOptions,
     platform: StandInPlatform,
     number: number,
 ): Promise<SoakNode> {
@@ -111,15 +110,15 @@
 async function waitForNodes(nodes: readonly SoakNode[]): Promise<void> {
     const begin = systemClock.now();
     while (nodes.some(({ process }) => process.getCallerAddress() === undefined)) {
-        if (systemClock.now() - begin > START_LIMIT_MS) {
-            throw new Error("a node did not start in time; see its log in the run's folder");
+        if (systemClock.now() - begin > START_TIMEOUT_MS) {
+            throw new Error("a node did not accept callers within 30 s; see its log in the run's folder");
         }
-        await sleep(systemClock, START_LOOK_MS);
+        await sleep(systemClock, START_POLL_INTERVAL_MS);
     }
 }
 
-/** Jobs with an odd number go to the queue that needs permits. */
-function createCallerWay(agent: Agent): CallerWay {
+/** Creates a client that sends odd-numbered jobs to the queue that needs permits and the rest to the open queue. */
+function createJobClient(agent: Agent): JobClient {
     const { host, open, advised } = STAND_IN_QUEUES;
     const openQueue = new CallerClient(agent, host, open);
     const advisedQueue = new CallerClient(agent, host, advised);
--- a/bench/soak/job-source.ts
+++ b/bench/soak/job-source.ts
@@ -1,35 +1,34 @@
-/** Jobs of all shapes, from a seed; what each task does follows from the job. */
+/** Generates seeded jobs of various shapes; a task's behavior is derived from its job. */
 import type { Random } from "../../src/common/random.js";
 import type { Resources } from "../../src/common/resources.js";
 import type { JobSpec, StepSpec } from "../../src/process/jobs/job-spec.js";
 import { parseTaskName } from "../../src/process/jobs/job-spec.js";
 import type { TaskBehavior } from "../../src/stand-ins/task-worker-model.js";
 
-/** What each worker has: four cores, so that a few tasks fill it. */
+/** Capacity of each worker: four cores, so that a few tasks fill it. */
 export const WORKER_CAPACITY: Resources = { cpuMillis: 4_000, memoryMib: 8_192, accelerators: 0 };
 
 const MAX_STEPS = 3;
 const MAX_TASKS = 4;
-const SHORTEST_MS = 20;
+const MIN_RUN_MS = 20;
 const RUN_SPREAD_MS = 400;
-/** One job in so many can never be done: each run of its first step fails. */
+/** One job in this many can never complete: each run of its first step fails. */
 const HOPELESS_ONE_IN = 12;
 
-/** A job with what the soak knows of it. */
+/** A job with its expected outcome. */
 export interface SoakJob {
     readonly id: string;
     readonly spec: JobSpec;
     readonly isHopeless: boolean;
 }
 
-/** Makes jobs and tells workers what their tasks do. */
+/** Makes jobs and defines the behavior of their tasks on workers. */
 export class JobSource {
     private readonly jobs = new Map<string, SoakJob>();
     private count = 0;
 
     constructor(private readonly random: Random) {}
 
-    /** Makes the next job. */
     makeJob(): SoakJob {
         this.count += 1;
         const id = this.count.toString(16).padStart(16, "0");
@@ -44,12 +43,12 @@
         return job;
     }
 
-    /** Finds a job that was made. */
+    /** Finds a job made earlier. */
     find(jobId: string): SoakJob | undefined {
         return this.jobs.get(jobId);
     }
 
-    /** What a task does on a worker. */
+    /** Returns how a task behaves on a worker; an unknown task takes all of the worker. */
     getBehavior(task: string): TaskBehavior {
         const ref = parseTaskName(task);
         const job = ref && this.jobs.get(ref.jobId);
@@ -57,7 +56,7 @@
         const isFailing = job?.isHopeless === true && ref?.step === 0;
         return {
             demand: step?.demand ?? WORKER_CAPACITY,
-            runMs: step?.estimateMs ?? SHORTEST_MS,
+            runMs: step?.estimateMs ?? MIN_RUN_MS,
             end: isFailing ? "failed" : "done",
         };
     }
@@ -72,7 +71,7 @@
                 memoryMib: 256 * (1 + random.pickInt(4)),
                 accelerators: 0,
             },
-            estimateMs: SHORTEST_MS + random.pickInt(RUN_SPREAD_MS),
+            estimateMs: MIN_RUN_MS + random.pickInt(RUN_SPREAD_MS),
             after: number === 0 ? [] : [random.pickInt(number)],
             savesCheckpoints: false,
             isGang,
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,13 +1,13 @@
 /**
- * The fault soak on real processes: `npm run soak -- --seed N`. Prints a line for each run; a run with a broken promise
- * keeps its logs and prints the command that repeats it.
+ * Fault-injection soak test on real processes: `npm run soak -- --seed N`. Prints a line for each run; a run that
+ * violates a guarantee keeps its logs and prints the command that repeats it.
  */
 import { rmSync } from "node:fs";
 import { parseArgs } from "node:util";
 import { createRandom } from "../../src/common/random.js";
 import { buildProgram } from "./build-program.js";
 import { buildFaultPlan } from "./fault-plan.js";
-import { openScene } from "./scene.js";
+import { openFixture } from "./fixture.js";
 import { SHORT_LENGTH_MS, SHORT_PLAN } from "./short-plan.js";
 import { runSoak } from "./soak-run.js";
 
@@ -16,7 +16,7 @@
 const USAGE =
     "usage: npm run soak -- [--seed N] [--runs N] [--nodes N] [--workers N] [--callers N] [--seconds N] [--gap-ms N] [--short] " +
     "[--other-program FILE]";
-/** Seeds of plans and of scenes must not be the same stream. */
+/** Fault plans and fixtures must draw from different random streams. */
 const PLAN_SEED_OFFSET = 1_000_003;
 
 const { values } = parseArgs({
@@ -29,7 +29,7 @@
         seconds: { type: "string", default: "15" },
         "gap-ms": { type: "string", default: "500" },
         short: { type: "boolean", default: false },
-        // Another build of the program, for every second node.
+        // Another build of the program, run by every second node.
         "other-program": { type: "string" },
     },
 });
@@ -58,7 +58,7 @@
     const folder = `${FOLDER}/seed-${seed}`;
     rmSync(folder, { recursive: true, force: true });
     const { nodes, workers, callers, lengthMs, gapMs } = size;
-    const scene = await openScene({ seed, nodes, workers, folder, program: PROGRAM, otherProgram });
+    const fixture = await openFixture({ seed, nodes, workers, folder, program: PROGRAM, otherProgram });
     const task = short ?
         { faults: SHORT_PLAN, lengthMs: SHORT_LENGTH_MS, callers } :
         {
@@ -67,8 +67,8 @@
             callers,
         };
     const { faults } = task;
-    const verdict = await runSoak(scene, task);
-    await scene.close();
+    const verdict = await runSoak(fixture, task);
+    await fixture.close();
     const isClean = verdict.violations.length === 0;
     const { accepted, refused, ended } = verdict.jobs;
     console.log(
--- a/bench/soak/node-process.ts
+++ b/bench/soak/node-process.ts
@@ -1,4 +1,4 @@
-/** One node of the cluster as a process of its own, with the signals that a machine's operator or fate may send. */
+/** Runs one cluster node as a child process, sends it signals and restarts it when it exits. */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { createWriteStream } from "node:fs";
@@ -6,41 +6,40 @@
 import { createInterface } from "node:readline";
 import { sleep, systemClock } from "../../src/common/clock.js";
 
-/** Where a process answers; known from its first lines. */
+/** Ports on which a process listens, as read from its start line. */
 export interface NodePorts {
     readonly callers: number;
     readonly metrics: number;
 }
 
-/** What starts a process. */
 export interface NodeCommand {
     readonly name: string;
     readonly program: string;
     readonly environment: Readonly<Record<string, string>>;
-    /** File that takes its log. */
+    /** File to which its output is appended. */
     readonly logPath: string;
 }
 
 /**
- * A signal that arrives this soon may meet the runtime before the program's first instruction, when nobody can handle
- * it: Node takes 40 ms to get there, and several times that while all nodes start again at once.
+ * A signal within this time of the start may arrive before the program has installed its handlers and end the process:
+ * Node takes 40 ms to run the first instruction, and several times that while all nodes restart at once.
  */
 const RUNTIME_START_MS = 500;
-/** A process that ended is started again after this long, as the machines' supervisor does it. */
+/** Delay before an exited process is restarted, as a supervisor on the VM would do. */
 const RESTART_MS = 300;
-const START_LINE = "processStarted";
+const START_EVENT = "processStarted";
 
-/** The process, through all its lives. */
+/** A supervised node process, across all its incarnations. */
 export class NodeProcess {
     private child: ChildProcess | undefined;
     private ports: NodePorts | undefined;
     private readonly log: WriteStream;
     private closed = false;
-    private lives = 0;
+    private incarnations = 0;
     private startedAt = 0;
-    /** Ends that no signal of the soak explains. */
-    readonly ownEnds: string[] = [];
-    private isEndExpected = false;
+    /** Descriptions of exits that no signal of the soak explains. */
+    readonly unexpectedExits: string[] = [];
+    private isExitExpected = false;
     private hasExited = false;
 
     constructor(private readonly command: NodeCommand) {
@@ -52,20 +51,20 @@
         return this.command.name;
     }
 
-    /** `host:port` for callers; undefined while no life has opened its port. */
+    /** `host:port` for callers; undefined while the process has no open port. */
     getCallerAddress(): string | undefined {
         return this.ports === undefined ? undefined : `127.0.0.1:${this.ports.callers}`;
     }
 
-    /** Sends a signal; ends that follow it are expected. */
+    /** Sends a signal; an exit after SIGKILL or SIGTERM is expected. */
     sendSignal(signal: NodeJS.Signals): void {
         if (signal === "SIGKILL" || signal === "SIGTERM") {
-            this.isEndExpected = true;
+            this.isExitExpected = true;
         }
         this.child?.kill(signal);
     }
 
-    /** Ends the process for good. */
+    /** Kills the process without a restart and closes its log. */
     async close(): Promise<void> {
         this.closed = true;
         const { child } = this;
@@ -79,9 +78,9 @@
     }
 
     private start(): void {
-        this.lives += 1;
+        this.incarnations += 1;
         this.startedAt = systemClock.now();
-        this.isEndExpected = false;
+        this.isExitExpected = false;
         this.hasExited = false;
         const child = spawn(process.execPath, [this.command.program], {
             env: { ...this.command.environment, PATH: process.env.PATH ?? "" },
@@ -97,7 +96,7 @@
         if (!this.log.writableEnded) {
             this.log.write(`${line}\n`);
         }
-        if (line.includes(`"${START_LINE}"`)) {
+        if (line.includes(`"${START_EVENT}"`)) {
             const { ports } = JSON.parse(line) as { ports: NodePorts; };
             this.ports = ports;
         }
@@ -106,9 +105,11 @@
     private async handleExit(code: unknown, signal: unknown): Promise<void> {
         this.ports = undefined;
         const isTooEarly = signal === "SIGHUP" && systemClock.now() - this.startedAt < RUNTIME_START_MS;
-        if (!this.isEndExpected && !isTooEarly && !this.closed) {
-            this.ownEnds.push(
-                `${this.name}, life ${this.lives}: code ${String(code)}, signal ${String(signal)}`,
+        if (!this.isExitExpected && !isTooEarly && !this.closed) {
+            this.unexpectedExits.push(
+                `${this.name}, incarnation ${this.incarnations}: code ${String(code)}, signal ${
+                    String(signal)
+                }`,
             );
         }
         this.hasExited = true;
--- a/bench/soak/short-plan.ts
+++ b/bench/soak/short-plan.ts
@@ -1,9 +1,9 @@
-/** The fixed run that CI plays: `npm run soak -- --short` plays it by hand. */
+/** The fixed fault plan that CI runs; `npm run soak -- --short` runs it by hand. */
 import type { PlannedFault } from "./fault-plan.js";
 
 export const SHORT_LENGTH_MS = 3_000;
 
-/** A leader or follower dies, one stands still, the store and workers misbehave meanwhile. */
+/** One node is killed, one is suspended and one is stopped, while the store and workers fail in several ways. */
 export const SHORT_PLAN: readonly PlannedFault[] = [
     { kind: "nodeKilled", atMs: 300, forMs: 0, target: 0 },
     { kind: "storeAnswersLost", atMs: 600, forMs: 500, target: 1 },
--- a/bench/soak/soak-run.ts
+++ b/bench/soak/soak-run.ts
@@ -1,8 +1,8 @@
-/** One run of the soak: real processes, callers, faults from a seed, and the verdict. */
+/** Runs one soak: callers and planned faults against real processes, then the verdict. */
 import { sleep, systemClock } from "../../src/common/clock.js";
 import type { Random } from "../../src/common/random.js";
 import { SoakCallers } from "./callers.js";
-import type { CallerWay } from "./callers.js";
+import type { JobClient } from "./callers.js";
 import type { SoakChecker } from "./checker.js";
 import { FaultKind } from "./fault-plan.js";
 import type { PlannedFault } from "./fault-plan.js";
@@ -11,135 +11,137 @@
 import { PathFault } from "./tcp-proxy.js";
 import type { TcpProxy } from "./tcp-proxy.js";
 
-/** A node with its ways to the platform's services. */
+/** A node with the proxies between it and the platform's services. */
 export interface SoakNode {
     readonly process: NodeProcess;
     readonly storePath: TcpProxy;
     readonly advicePath: TcpProxy;
 }
 
-/** A worker as faults see it. */
+/** Controls for faults on one worker. */
 export interface SoakWorker {
     readonly path: TcpProxy;
-    /** Ends its life; another one answers at the same address. */
-    replaceLife(): void;
-    /** Says that it leaves, or that it is back. */
+    /** Ends the worker's incarnation; a new one answers at the same address. */
+    replaceIncarnation(): void;
+    /** Sets whether the worker reports that it is draining. */
     setDraining(isDraining: boolean): void;
 }
 
-/** What the platform's services do wrong. */
+/** Controls for faults of the platform's services. */
 export interface SoakServices {
     setStoreBusy(isBusy: boolean): void;
     setStoreLate(isLate: boolean): void;
     truncateStore(): void;
-    /** Puts a newer configuration in force. */
+    /** Publishes a newer configuration. */
     updateConfig(): void;
 }
 
-/** Everything that a run consists of. */
-export interface SoakScene {
+/** All parts that take part in a run. */
+export interface SoakFixture {
     readonly nodes: readonly SoakNode[];
     readonly workers: readonly SoakWorker[];
     readonly services: SoakServices;
-    readonly way: CallerWay;
+    readonly client: JobClient;
     readonly jobs: JobSource;
     readonly checker: SoakChecker;
     readonly random: Random;
 }
 
-/** What to do. */
-export interface SoakTask {
+/** Load and faults of a run. */
+export interface SoakRunOptions {
     readonly faults: readonly PlannedFault[];
     readonly lengthMs: number;
     readonly callers: number;
 }
 
-/** How it went. */
+/** Result of a run; it passes if there are no violations. */
 export interface SoakVerdict {
     readonly violations: readonly string[];
     readonly jobs: Readonly<Record<"accepted" | "refused" | "ended", number>>;
 }
 
-/** Time after the last fault in which every accepted job has to end. */
-const SETTLE_MS = 40_000;
+/** Time after the end of the load and of all faults within which every accepted job has to end. */
+const SETTLE_TIMEOUT_MS = 40_000;
 
 /**
- * Plays a run.
- * @param scene - What it is played with; the nodes are ready.
- * @param task - What to do.
+ * Runs callers and faults for the given time, waits for accepted jobs to end and returns the verdict.
+ * @param fixture - A fixture whose nodes are ready.
  */
-export async function runSoak(scene: SoakScene, task: SoakTask): Promise<SoakVerdict> {
+export async function runSoak(fixture: SoakFixture, runOptions: SoakRunOptions): Promise<SoakVerdict> {
     const callers = new SoakCallers({
-        ...scene,
-        listAddresses: () => scene.nodes.flatMap(({ process }) => process.getCallerAddress() ?? []),
+        ...fixture,
+        listAddresses: () => fixture.nodes.flatMap(({ process }) => process.getCallerAddress() ?? []),
     });
-    callers.start(task.callers);
+    callers.start(runOptions.callers);
     await Promise.all([
-        sleep(systemClock, task.lengthMs),
-        ...task.faults.map(fault => runFault(scene, fault)),
+        sleep(systemClock, runOptions.lengthMs),
+        ...runOptions.faults.map(fault => runFault(fixture, fault)),
     ]);
     await callers.stop();
-    await callers.settle(SETTLE_MS);
-    scene.checker.finish();
-    const ownEnds = scene.nodes.flatMap(({ process }) => process.ownEnds);
+    await callers.settle(SETTLE_TIMEOUT_MS);
+    fixture.checker.finish();
+    const unexpectedExits = fixture.nodes.flatMap(({ process }) => process.unexpectedExits);
     return {
         violations: [
-            ...scene.checker.violations.map(({ promise, atMs, message }) =>
-                `${promise} at ${atMs} ms: ${message}`
+            ...fixture.checker.violations.map(({ guarantee, atMs, message }) =>
+                `${guarantee} at ${atMs} ms: ${message}`
             ),
-            ...ownEnds.map(end => `a process ended by itself: ${end}`),
+            ...unexpectedExits.map(end => `a process exited unexpectedly: ${end}`),
         ],
-        jobs: scene.checker.countJobs(),
+        jobs: fixture.checker.countJobs(),
     };
 }
 
-type Handler = (scene: SoakScene, fault: PlannedFault) => Promise<void>;
+type Handler = (fixture: SoakFixture, fault: PlannedFault) => Promise<void>;
 
 const HANDLERS: Readonly<Record<FaultKind, Handler>> = {
-    [FaultKind.nodeKilled]: (scene, fault) => sendSignal(scene, fault, "SIGKILL"),
-    [FaultKind.allKilled]: async scene => {
-        scene.nodes.forEach(({ process }) => process.sendSignal("SIGKILL"));
+    [FaultKind.nodeKilled]: (fixture, fault) => sendSignal(fixture, fault, "SIGKILL"),
+    [FaultKind.allKilled]: async fixture => {
+        fixture.nodes.forEach(({ process }) => process.sendSignal("SIGKILL"));
     },
-    [FaultKind.nodeStopped]: (scene, fault) => sendSignal(scene, fault, "SIGTERM"),
-    [FaultKind.nodeFrozen]: async (scene, fault) => {
-        const { process } = pickTarget(scene.nodes, fault);
+    [FaultKind.nodeStopped]: (fixture, fault) => sendSignal(fixture, fault, "SIGTERM"),
+    [FaultKind.nodeFrozen]: async (fixture, fault) => {
+        const { process } = pickTarget(fixture.nodes, fault);
         process.sendSignal("SIGSTOP");
         await sleep(systemClock, fault.forMs);
         process.sendSignal("SIGCONT");
     },
-    [FaultKind.nodeReloaded]: (scene, fault) => sendSignal(scene, fault, "SIGHUP"),
-    [FaultKind.storePathDelayed]: (scene, fault) =>
-        breakPath(pickTarget(scene.nodes, fault).storePath, PathFault.delayed, fault),
-    [FaultKind.storePathReset]: (scene, fault) =>
-        breakPath(pickTarget(scene.nodes, fault).storePath, PathFault.reset, fault),
-    [FaultKind.storePathSilent]: (scene, fault) =>
-        breakPath(pickTarget(scene.nodes, fault).storePath, PathFault.silent, fault),
-    [FaultKind.storeAnswersLost]: (scene, fault) =>
-        breakPath(pickTarget(scene.nodes, fault).storePath, PathFault.answersLost, fault),
-    [FaultKind.storeBusy]: (scene, fault) => holdFor(fault, isOn => scene.services.setStoreBusy(isOn)),
-    [FaultKind.storeLate]: (scene, fault) => holdFor(fault, isOn => scene.services.setStoreLate(isOn)),
-    [FaultKind.storeCompacted]: async scene => scene.services.truncateStore(),
-    [FaultKind.workerPathSilent]: (scene, fault) =>
-        breakPath(pickTarget(scene.workers, fault).path, PathFault.silent, fault),
-    [FaultKind.workerPathReset]: (scene, fault) =>
-        breakPath(pickTarget(scene.workers, fault).path, PathFault.reset, fault),
-    [FaultKind.workerAnswersLost]: (scene, fault) =>
-        breakPath(pickTarget(scene.workers, fault).path, PathFault.answersLost, fault),
-    [FaultKind.workerReborn]: async (scene, fault) => pickTarget(scene.workers, fault).replaceLife(),
-    [FaultKind.workerDrained]: (scene, fault) =>
-        holdFor(fault, isOn => pickTarget(scene.workers, fault).setDraining(isOn)),
-    [FaultKind.advicePathSilent]: (scene, fault) =>
-        breakPath(pickTarget(scene.nodes, fault).advicePath, PathFault.silent, fault),
-    [FaultKind.configChanged]: async scene => scene.services.updateConfig(),
+    [FaultKind.nodeReloaded]: (fixture, fault) => sendSignal(fixture, fault, "SIGHUP"),
+    [FaultKind.storePathDelayed]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.nodes, fault).storePath, PathFault.delayed, fault),
+    [FaultKind.storePathReset]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.nodes, fault).storePath, PathFault.reset, fault),
+    [FaultKind.storePathSilent]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.nodes, fault).storePath, PathFault.silent, fault),
+    [FaultKind.storeAnswersLost]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.nodes, fault).storePath, PathFault.answersLost, fault),
+    [FaultKind.storeBusy]: (fixture, fault) =>
+        setTemporarily(fault, isOn => fixture.services.setStoreBusy(isOn)),
+    [FaultKind.storeLate]: (fixture, fault) =>
+        setTemporarily(fault, isOn => fixture.services.setStoreLate(isOn)),
+    [FaultKind.storeCompacted]: async fixture => fixture.services.truncateStore(),
+    [FaultKind.workerPathSilent]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.workers, fault).path, PathFault.silent, fault),
+    [FaultKind.workerPathReset]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.workers, fault).path, PathFault.reset, fault),
+    [FaultKind.workerAnswersLost]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.workers, fault).path, PathFault.answersLost, fault),
+    [FaultKind.workerReborn]: async (fixture, fault) =>
+        pickTarget(fixture.workers, fault).replaceIncarnation(),
+    [FaultKind.workerDrained]: (fixture, fault) =>
+        setTemporarily(fault, isOn => pickTarget(fixture.workers, fault).setDraining(isOn)),
+    [FaultKind.advicePathSilent]: (fixture, fault) =>
+        breakPath(pickTarget(fixture.nodes, fault).advicePath, PathFault.silent, fault),
+    [FaultKind.configChanged]: async fixture => fixture.services.updateConfig(),
 };
 
-async function runFault(scene: SoakScene, fault: PlannedFault): Promise<void> {
+async function runFault(fixture: SoakFixture, fault: PlannedFault): Promise<void> {
     await sleep(systemClock, fault.atMs);
-    await HANDLERS[fault.kind](scene, fault);
+    await HANDLERS[fault.kind](fixture, fault);
 }
 
-async function sendSignal(scene: SoakScene, fault: PlannedFault, signal: NodeJS.Signals): Promise<void> {
-    pickTarget(scene.nodes, fault).process.sendSignal(signal);
+async function sendSignal(fixture: SoakFixture, fault: PlannedFault, signal: NodeJS.Signals): Promise<void> {
+    pickTarget(fixture.nodes, fault).process.sendSignal(signal);
 }
 
 async function breakPath(path: TcpProxy, kind: PathFault, fault: PlannedFault): Promise<void> {
@@ -148,7 +150,7 @@
     path.setFault(PathFault.none);
 }
 
-async function holdFor(fault: PlannedFault, set: (isOn: boolean) => void): Promise<void> {
+async function setTemporarily(fault: PlannedFault, set: (isOn: boolean) => void): Promise<void> {
     set(true);
     await sleep(systemClock, fault.forMs);
     set(false);
@@ -157,7 +159,7 @@
 function pickTarget<Target>(targets: readonly Target[], fault: PlannedFault): Target {
     const target = targets[fault.target % targets.length];
     if (target === undefined) {
-        throw new Error("a run needs at least one node and one worker; start it with more");
+        throw new Error("a soak run needs at least one node and one worker");
     }
     return target;
 }
--- a/bench/soak/tcp-proxy.ts
+++ b/bench/soak/tcp-proxy.ts
@@ -1,30 +1,30 @@
-/** A loopback proxy whose connections misbehave on demand. */
+/** A loopback TCP proxy that injects connection faults on demand. */
 import { connect, createServer } from "node:net";
 import type { AddressInfo, Server, Socket } from "node:net";
 import { sleep, systemClock } from "../../src/common/clock.js";
 
-/** What a proxy does to the bytes that pass. */
+/** Fault that a proxy applies to its connections. */
 export const PathFault = {
     none: "none",
-    /** Every piece of data is held back for a while. */
+    /** Each chunk of data is delayed. */
     delayed: "delayed",
-    /** Open connections and new ones end with a reset. */
+    /** Open connections are closed and new ones are reset. */
     reset: "reset",
-    /** Connections stay open, nothing passes either way. */
+    /** Connections stay open, but no data is forwarded in either direction. */
     silent: "silent",
-    /** Requests pass, answers do not: what was asked is carried out, and nobody hears of it. */
+    /** Requests are forwarded and executed, but responses are discarded. */
     answersLost: "answersLost",
 } as const;
 export type PathFault = (typeof PathFault)[keyof typeof PathFault];
 
-const HOLD_MS = 120;
+const DELAY_MS = 120;
 
 interface Pair {
     readonly client: Socket;
     readonly server: Socket;
 }
 
-/** The proxy; see the module comment. */
+/** Forwards each accepted connection to one target, subject to the current fault. */
 export class TcpProxy {
     private readonly pairs = new Set<Pair>();
     private fault: PathFault = PathFault.none;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Opens a proxy on a port of the operating system's choice.
-     * @param target - `host:port` behind it.
+     * Opens a proxy on a free loopback port.
+     * @param target - `host:port` to which connections are forwarded.
      */
     static async open(target: string): Promise<TcpProxy> {
         const listener = createServer();
@@ -43,21 +43,21 @@
         return new TcpProxy(listener, target);
     }
 
-    /** `host:port` in front of it. */
+    /** `host:port` on which the proxy listens. */
     get address(): string {
         return `127.0.0.1:${(this.listener.address() as AddressInfo).port}`;
     }
 
-    /** Sets what happens from now on. A connection on which data was held back for good ends when the fault does. */
+    /** Sets the current fault. Connections that may have lost data are closed when a fault that discards data ends. */
     setFault(fault: PathFault): void {
-        const wasHolding = this.fault === PathFault.silent || this.fault === PathFault.answersLost;
+        const wasDiscarding = this.fault === PathFault.silent || this.fault === PathFault.answersLost;
         this.fault = fault;
-        if (wasHolding || fault === PathFault.reset) {
+        if (wasDiscarding || fault === PathFault.reset) {
             this.pairs.forEach(pair => closePair(pair));
         }
     }
 
-    /** Ends all connections and the proxy. */
+    /** Closes the listener and all connections. */
     close(): void {
         this.listener.close();
         this.pairs.forEach(pair => closePair(pair));
@@ -75,11 +75,11 @@
         });
         const pair: Pair = { client, server };
         this.pairs.add(pair);
-        this.joinSockets(pair, client, server, [PathFault.silent]);
-        this.joinSockets(pair, server, client, [PathFault.silent, PathFault.answersLost]);
+        this.forwardData(pair, client, server, [PathFault.silent]);
+        this.forwardData(pair, server, client, [PathFault.silent, PathFault.answersLost]);
     }
 
-    private joinSockets(pair: Pair, from: Socket, to: Socket, stoppedBy: readonly PathFault[]): void {
+    private forwardData(pair: Pair, from: Socket, to: Socket, stoppedBy: readonly PathFault[]): void {
         let order = Promise.resolve();
         from.setNoDelay(true);
         from.on("data", chunk => {
@@ -91,7 +91,7 @@
 
     private async forwardChunk(chunk: Buffer, to: Socket, stoppedBy: readonly PathFault[]): Promise<void> {
         if (this.fault === PathFault.delayed) {
-            await sleep(systemClock, HOLD_MS);
+            await sleep(systemClock, DELAY_MS);
         }
         if (!stoppedBy.includes(this.fault) && !to.destroyed) {
             to.write(chunk);
--- a/scripts/build-binary.mjs
+++ b/scripts/build-binary.mjs
@@ -1,7 +1,7 @@
 /**
  * Builds `dist/cactusrack`: the bundled program inside a copy of the Node executable that runs this script.
  *
- * @remarks Node's single executable application: bundle, make a blob, inject the blob at the fuse.
+ * @remarks Uses Node's single executable applications: builds a bundle, makes a blob of it and injects it at the fuse.
  */
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
--- a/scripts/build-node.mjs
+++ b/scripts/build-node.mjs
@@ -1,7 +1,7 @@
 /**
- * Builds `target/cactusrack-node.cjs`: the program of one node on the platform, without the command line, the demo and
- * the interface documents, so that a process that is started again serves as soon as possible. An argument names another
- * file to write.
+ * Builds `target/cactusrack-node.cjs`: the program of one node on the platform. It leaves out the command line, the demo
+ * and the API documents, so that a restarted process serves as soon as possible. An optional argument sets another
+ * output file.
  */
 import { build } from "esbuild";
 import { mkdirSync } from "node:fs";
--- a/scripts/function-verbs.js
+++ b/scripts/function-verbs.js
@@ -1,13 +1,13 @@
 /**
- * ESLint rule: the name of a function or method begins with a verb of `docs/verbs.json`.
+ * ESLint rule: the name of a function or method must begin with a verb of `docs/verbs.json`.
  *
- * @remarks Why a rule: readers find code by its verb, and a second verb for the same act hides it.
+ * @remarks Readers search for code by its verb; a second verb for the same action would hide it from them.
  */
 import { readFileSync } from "node:fs";
 
 const { verbs } = JSON.parse(readFileSync(new URL("../docs/verbs.json", import.meta.url), "utf8"));
 const allowed = new Set(Object.keys(verbs));
-/** Names that the clock type and Node's own interfaces give. */
+/** Names required by the clock type and by Node's interfaces. */
 const givenNames = new Set(["now", "wallNow", "toString", "toJSON", "execute"]);
 
 function getFirstWord(name) {
--- a/scripts/native-add-ons.mjs
+++ b/scripts/native-add-ons.mjs
@@ -1,8 +1,8 @@
-/** What the bundles of this project leave out. */
+/** esbuild plugin that leaves native add-ons out of the bundles. */
 
 /**
- * Native add-ons stay out: cbor-x and hot-shots fall back to JavaScript when loading them throws. As `external`
- * modules they would be asked for at the start of the binary, and Node would print a warning for each.
+ * Replaces native add-ons by modules that throw, upon which cbor-x and hot-shots fall back to JavaScript. If they were
+ * `external`, the binary would try to load them at start and Node would print a warning for each.
  */
 export const leaveOutNativeAddOns = {
     name: "leave-out-native-add-ons",
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,8 +1,8 @@
 /**
- * Runs every test file below `src/test` and `platform/test` with Node's own test runner, each file in a process of its own.
+ * Runs every test file below `src/test` and `platform/test` with Node's test runner, each file in a separate process.
  *
- * @remarks Arguments, if any, are substrings: only the files whose path contains one of them run.
- * Files named by a line of `KNOWN-RED.txt` are left out here and run apart by `.ci/run`.
+ * @remarks Arguments, if any, are substrings: only files whose path contains one of them run. Files listed in
+ * `KNOWN-RED.txt` are excluded, unless `--known-red` is given, with which only they run; `.ci/run` runs them separately.
  */
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { run } from "node:test";
--- a/src/test/losses/causes_test.ts
+++ b/src/test/losses/causes_test.ts
@@ -1,7 +1,7 @@
 /** The main cause of a late job, derived from the log lines of the nodes. */
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { chooseMainCause, findSpells } from "../../../bench/losses/causes.js";
+import { chooseMainCause, findDisruptions } from "../../../bench/losses/causes.js";
 import { buildTimelines } from "../../../bench/losses/job-timeline.js";
 import { parseLogLines } from "../../../bench/losses/log-lines.js";
 
@@ -147,7 +147,7 @@
             const lines = parseLogLines(`${text}\nnot a line\n{"time":1,`);
             const [job] = buildTimelines(lines);
             assert(job !== undefined);
-            assert.equal(chooseMainCause(job, findSpells(lines)), cause);
+            assert.equal(chooseMainCause(job, findDisruptions(lines)), cause);
         });
     }
 });
--- a/src/test/soak/soak-checker_test.ts
+++ b/src/test/soak/soak-checker_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SoakChecker } from "../../../bench/soak/checker.js";
-import type { SoakPromise } from "../../../bench/soak/checker.js";
+import type { SoakGuarantee } from "../../../bench/soak/checker.js";
 import { JobSource } from "../../../bench/soak/job-source.js";
 import type { SoakJob } from "../../../bench/soak/job-source.js";
 import { createRandom } from "../../common/random.js";
@@ -55,7 +55,7 @@
     const cases: {
         name: string;
         play: (fixture: CheckerFixture) => Promise<void> | void;
-        found: readonly SoakPromise[];
+        found: readonly SoakGuarantee[];
     }[] = [
         {
             name: "finds nothing where a job is accepted, runs and ends",
@@ -211,7 +211,7 @@
             const fixture = new CheckerFixture();
             await play(fixture);
             fixture.checker.finish();
-            assert.deepEqual(fixture.checker.violations.map(({ promise }) => promise), found);
+            assert.deepEqual(fixture.checker.violations.map(({ guarantee }) => guarantee), found);
         });
     }
 });
