--- a/src/process/dispatch/advice-dispatcher.ts
+++ b/src/process/dispatch/advice-dispatcher.ts
@@ -122,8 +122,8 @@
 }
 
 /** Returns when a node can be chosen, by the policy's figures and its failures. */
-function getFreeAt({ busyUntil, backoffUntil: pausedUntil }: CallerState): Millis {
-    return Math.max(busyUntil, pausedUntil);
+function getFreeAt({ busyUntil, backoffUntil }: CallerState): Millis {
+    return Math.max(busyUntil, backoffUntil);
 }
 
 /**
--- a/src/process/dispatch/permits.ts
+++ b/src/process/dispatch/permits.ts
@@ -219,6 +219,6 @@
             MIN_DENIAL_MS :
             Math.min(MAX_DENIAL_MS, lastDurationMs * 2);
         this.held.delete(workerId);
-        this.denied.set(workerId, { until: now + durationMs, durationMs: durationMs });
+        this.denied.set(workerId, { until: now + durationMs, durationMs });
     }
 }
--- a/src/process/home/log/settle-write.ts
+++ b/src/process/home/log/settle-write.ts
@@ -58,7 +58,7 @@
                     return { kind: "done", revision: current.revision };
                 }
                 const mayHaveApplied = isUncertain || result.kind === "superseded";
-                return { kind: "lost", current, mayHaveApplied: mayHaveApplied };
+                return { kind: "lost", current, mayHaveApplied };
             }
             case "tooLarge":
             case "noLease":
--- a/src/process/journal/guarded-store.ts
+++ b/src/process/journal/guarded-store.ts
@@ -219,7 +219,7 @@
     }
 
     private prepareAttempt(
-        { buildWrite, buildConditions, observeAttempt: observeAttempt }: GuardedWrite,
+        { buildWrite, buildConditions, observeAttempt }: GuardedWrite,
     ): PreparedAttempt {
         const write = buildWrite();
         const guard = { key: LEADER_KEY, revision: this.options.leaderRevision };
--- a/src/test/process/ownership/handover-coordinator_test.ts
+++ b/src/test/process/ownership/handover-coordinator_test.ts
@@ -42,7 +42,7 @@
         },
     });
     return {
-        calls: calls,
+        calls,
         handovers,
         getTable: () => table,
         restoreStore: () => {
--- a/src/test/process/ownership/member-lease_test.ts
+++ b/src/test/process/ownership/member-lease_test.ts
@@ -42,12 +42,12 @@
     });
     const lease = new MemberLease({
         context: { memberId: "a", clock: own, log, store },
-        authority: authority,
+        authority,
         getTtl: () => TTL_MS,
         refreshTable: () => Promise.resolve(readsTable()),
         makeKeyValue: leaseId => JSON.stringify({ leaseId }),
     });
-    return { clock, own, path, model, authority: authority, lease };
+    return { clock, own, path, model, authority, lease };
 }
 
 describe("a member's lease", () => {
