--- a/src/process/entry.ts
+++ b/src/process/entry.ts
@@ -237,9 +237,9 @@
         }
     }
 
-    receiveDigest(from: string, heard: ReceivedDigest): void {
-        this.tree.receiveDigest(from, heard);
-        this.ownership.receiveDigest(from, heard);
+    receiveDigest(from: string, received: ReceivedDigest): void {
+        this.tree.receiveDigest(from, received);
+        this.ownership.receiveDigest(from, received);
     }
 
     handleLinkChange(memberId: string, up: boolean): void {
--- a/src/process/home/home-role.ts
+++ b/src/process/home/home-role.ts
@@ -56,8 +56,8 @@
         return owned.handleRequest(request);
     }
 
-    receiveUpdates(from: string, note: UpdateNotification): void {
-        this.slices.get(note.homeSlice)?.receiveUpdates(from, note);
+    receiveUpdates(from: string, notification: UpdateNotification): void {
+        this.slices.get(notification.homeSlice)?.receiveUpdates(from, notification);
     }
 
     listReady(): readonly number[] {
--- a/src/process/home/home-slice.ts
+++ b/src/process/home/home-slice.ts
@@ -88,8 +88,8 @@
         return this.open.handleRequest(request);
     }
 
-    receiveUpdates(from: string, note: UpdateNotification): void {
-        this.getOpen()?.receiveUpdates(from, note);
+    receiveUpdates(from: string, notification: UpdateNotification): void {
+        this.getOpen()?.receiveUpdates(from, notification);
     }
 
     /** Closes the slice for a handover, once pending requests have finished and all entries are written. */
--- a/src/process/node/leader-dialer.ts
+++ b/src/process/node/leader-dialer.ts
@@ -17,7 +17,7 @@
 export interface LeaderLinkOwner {
     buildStatus(): NodeStatus;
     handleCall(body: unknown): Promise<unknown>;
-    handleNotification(link: LeaderLink, note: NodeNotification): void;
+    handleNotification(link: LeaderLink, notification: NodeNotification): void;
     /** Factor on the time after which the leader's link counts as silent; 1 by default. */
     readonly slowness?: number;
 }
--- a/src/process/node/link-server.ts
+++ b/src/process/node/link-server.ts
@@ -14,7 +14,7 @@
 export interface LinkServerOwner {
     buildStatus(): NodeStatus;
     handleCall(body: unknown): Promise<unknown>;
-    handleNotification(inbound: InboundLink, note: NodeNotification): void;
+    handleNotification(inbound: InboundLink, notification: NodeNotification): void;
     handleClosed(inbound: InboundLink): void;
 }
 
--- a/src/process/placer/placer-role.ts
+++ b/src/process/placer/placer-role.ts
@@ -238,23 +238,23 @@
         }
     }
 
-    receiveNotification(from: string, note: NotificationBody): void {
-        switch (note.kind) {
+    receiveNotification(from: string, notification: NotificationBody): void {
+        switch (notification.kind) {
             case "place":
-                this.orders.receivePlace(note);
+                this.orders.receivePlace(notification);
                 this.returnQueuedWithoutWorkers();
                 if (this.draining) {
                     this.orders.returnQueued("the placer is shutting down");
                 }
                 break;
             case "confirm":
-                this.orders.receiveConfirm(note);
+                this.orders.receiveConfirm(notification);
                 break;
             case "withdraw":
-                this.orders.receiveWithdraw(note);
+                this.orders.receiveWithdraw(notification);
                 break;
             case "acknowledge":
-                this.orders.receiveAcknowledge(note);
+                this.orders.receiveAcknowledge(notification);
                 break;
             case "updates":
                 this.context.log.debug("placer ignored updates, which are for homes", { from });
--- a/src/process/placer/task-orders.ts
+++ b/src/process/placer/task-orders.ts
@@ -47,9 +47,9 @@
      * Accepts tasks from a home. An order that was seen before, or whose home is outdated, is ignored without
      * an answer, because "not started" would be wrong if an earlier copy of the order has run.
      */
-    receivePlace(note: PlaceNotification): void {
+    receivePlace(notification: PlaceNotification): void {
         const gangs = new Set<string>();
-        for (const order of note.orders) {
+        for (const order of notification.orders) {
             if (!this.fences.admit(order.home, order.attempt)) {
                 this.options.context.metrics.count("placer.orders_passed_over");
             }
@@ -77,8 +77,8 @@
     }
 
     /** Starts granted attempts whose start markers the home has stored durably. */
-    receiveConfirm(note: ConfirmNotification): void {
-        for (const attemptId of note.attempts) {
+    receiveConfirm(notification: ConfirmNotification): void {
+        for (const attemptId of notification.attempts) {
             const attempt = this.options.ledger.attempts.find(attemptId);
             if (attempt?.state === AttemptState.granted && this.fences.isAdmissible(attempt.order.home)) {
                 this.options.startGranted(attempt);
@@ -87,18 +87,18 @@
     }
 
     /** Withdraws attempts that have not started and, if asked to, stops the others. */
-    receiveWithdraw(note: WithdrawNotification): void {
-        for (const attemptId of note.attempts) {
-            this.withdraw(attemptId, note.stop);
+    receiveWithdraw(notification: WithdrawNotification): void {
+        for (const attemptId of notification.attempts) {
+            this.withdraw(attemptId, notification.stop);
         }
         this.options.requestDecisions();
     }
 
     /** Drops ended attempts whose ends the home has stored durably. */
-    receiveAcknowledge(note: AcknowledgeNotification): void {
-        for (const attemptId of note.attempts) {
+    receiveAcknowledge(notification: AcknowledgeNotification): void {
+        for (const attemptId of notification.attempts) {
             const attempt = this.options.ledger.attempts.find(attemptId);
-            this.options.ledger.outbox.drop(note.homeSlice, attemptId);
+            this.options.ledger.outbox.drop(notification.homeSlice, attemptId);
             if (attempt?.state === AttemptState.ended) {
                 this.options.ledger.attempts.remove(attempt);
                 if (attempt.workerId !== undefined) {
--- a/src/process/roles.ts
+++ b/src/process/roles.ts
@@ -119,7 +119,7 @@
     /** Ends ownership: `handOver` flushes first; `lost` discards all state immediately. */
     closeSlice(slice: number, mode: "handOver" | "lost"): Promise<void>;
     handleRequest(slice: number, request: HomeRequest): Promise<HomeReply>;
-    receiveUpdates(from: string, note: UpdateNotification): void;
+    receiveUpdates(from: string, notification: UpdateNotification): void;
     /** Slices that are recovered and serve requests. */
     listReady(): readonly number[];
     /** Slices and counts for `status` and metrics. */
@@ -139,7 +139,7 @@
     openSlice(slice: number, epoch: number, predecessor: "none" | "released" | "lost"): void;
     closeSlice(slice: number, mode: "handOver" | "lost"): Promise<void>;
     handleCall(from: string, body: CallBody): Promise<AnswerBody>;
-    receiveNotification(from: string, note: NotificationBody): void;
+    receiveNotification(from: string, notification: NotificationBody): void;
     listSlices(): readonly SliceStatus[];
     getLoad(): PlacerLoad;
     listWorkers(): readonly WorkerStatus[];
--- a/src/test/dispatch/advice-dispatcher_test.ts
+++ b/src/test/dispatch/advice-dispatcher_test.ts
@@ -14,8 +14,8 @@
         // Many gangs waited for capacity and repeated their requests of a second each. A job of their own
         // queue that had made no request yet waited behind all of them.
         const clock = new FakeClock();
-        const desk = new AdviceDispatcher(clock, createFakeLog());
-        const queue = new RequestQueue(desk);
+        const dispatcher = new AdviceDispatcher(clock, createFakeLog());
+        const queue = new RequestQueue(dispatcher);
         const sent: string[] = [];
         const enqueue = (step: string, policy: typeof LONG, priority: number, isFirst = true): void =>
             queue.enqueue({
@@ -27,7 +27,7 @@
                 isWanted: () => true,
                 settle: () => undefined,
             });
-        desk.addCaller({
+        dispatcher.addCaller({
             nodeName: "node-1",
             requestPermits: step => {
                 sent.push(step);
--- a/src/test/dispatch/backfill_test.ts
+++ b/src/test/dispatch/backfill_test.ts
@@ -41,11 +41,11 @@
 describe("backfill beside a gang that lacks capacity", () => {
     for (const { name, ageMs = 0, priority = 2, blockedPriority = 1, steps = [{}], expected } of cases) {
         it(name, () => {
-            const book = new JobRegistry();
+            const registry = new JobRegistry();
             const spec = makeSpec(...steps.map(step => ({ estimateMs: ESTIMATE_MS, ...step })));
             const at = NOW - ageMs;
-            book.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec, at });
-            const [step] = book.listRunnable();
+            registry.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec, at });
+            const [step] = registry.listRunnable();
             assert(step !== undefined);
             const queue = { ...QUEUE, priority, stretch: 3, targetMs: OBJECTIVE_MS - 3 * ESTIMATE_MS };
             assert.equal(isDeferred(rankStep(step, queue, NOW), blockedPriority), expected);
--- a/src/test/dispatch/capacity-claims_test.ts
+++ b/src/test/dispatch/capacity-claims_test.ts
@@ -7,12 +7,12 @@
 import { CORE, makeJobId, makeSpec } from "../leader/leader-cell.js";
 
 function makeSteps(count: number): readonly Step[] {
-    const book = new JobRegistry();
+    const registry = new JobRegistry();
     for (let number = 1; number <= count; number++) {
         const spec = makeSpec({ taskCount: 4, demand: { ...CORE, cpuMillis: 3_000 } });
-        book.apply({ type: "accepted", jobId: makeJobId(number), queue: "batch", spec, at: 0 });
+        registry.apply({ type: "accepted", jobId: makeJobId(number), queue: "batch", spec, at: 0 });
     }
-    return [...book.listRunnable()];
+    return [...registry.listRunnable()];
 }
 
 describe("CapacityClaims", () => {
--- a/src/test/dispatch/cut-off-callers_test.ts
+++ b/src/test/dispatch/cut-off-callers_test.ts
@@ -22,11 +22,11 @@
             // Two of three nodes are reserved for short requests, and the third is cut off from the service.
             // Every long request failed there, and its gang never started while the two others were idle.
             const clock = new FakeClock();
-            const desk = new AdviceDispatcher(clock, createFakeLog());
-            const queue = new RequestQueue(desk);
+            const dispatcher = new AdviceDispatcher(clock, createFakeLog());
+            const queue = new RequestQueue(dispatcher);
             const done: Millis[] = [];
             const addNode = (nodeName: string, reply: AdviceAnswer, takesMs: Millis): void =>
-                desk.addCaller({
+                dispatcher.addCaller({
                     nodeName,
                     requestPermits: () =>
                         new Promise(resolve => {
--- a/src/test/dispatch/failing-callers_test.ts
+++ b/src/test/dispatch/failing-callers_test.ts
@@ -27,10 +27,10 @@
             // seem free first. A short request failed there after its timeout, and was sent again just when
             // the pause of another such node had ended, for as long as the gangs went on.
             const clock = new FakeClock();
-            const desk = new AdviceDispatcher(clock, createFakeLog());
-            const queue = new RequestQueue(desk);
+            const dispatcher = new AdviceDispatcher(clock, createFakeLog());
+            const queue = new RequestQueue(dispatcher);
             for (const nodeName of ["n1", "n2", "n3", "n4", "n5"]) {
-                desk.addCaller(buildCaller(clock, nodeName, cutOff.includes(nodeName)));
+                dispatcher.addCaller(buildCaller(clock, nodeName, cutOff.includes(nodeName)));
             }
             const requestLong = (number: number): void =>
                 queue.enqueue({
--- a/src/test/dispatch/plan-passes.ts
+++ b/src/test/dispatch/plan-passes.ts
@@ -43,15 +43,15 @@
 export function runPasses(
     { step, policy, allowedBefore = [], listWorkers, answer, forMs }: PassesCase,
 ): FirstStart | undefined {
-    const book = new JobRegistry();
-    book.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec: makeSpec(step), at: 0 });
+    const registry = new JobRegistry();
+    registry.apply({ type: "accepted", jobId: makeJobId(1), queue: QUEUE.name, spec: makeSpec(step), at: 0 });
     const permits = new StepPermits();
     permits.accept(allowedBefore, makePermits(allowedBefore), -policy.validMs, policy.validMs);
     const preemptionLooks = new PreemptionAttempts();
     const queue = { ...QUEUE, advice: policy };
     for (let now = 0; now < forMs; now += PASS_INTERVAL_MS) {
         const plan = planStarts({
-            waiting: [...book.listRunnable()].map(waiting => rankStep(waiting, queue, now)),
+            waiting: [...registry.listRunnable()].map(waiting => rankStep(waiting, queue, now)),
             workersByPool: new Map([[QUEUE.pool, listWorkers(now)]]),
             unreportedByPool: new Map(),
             getPermits: () => permits,
--- a/src/test/dispatch/planner_test.ts
+++ b/src/test/dispatch/planner_test.ts
@@ -47,13 +47,13 @@
     permitsOf: ReadonlyMap<number, StepPermits> = new Map(),
     unreported: readonly WorkerState[] = [],
 ): Plan {
-    const book = new JobRegistry();
+    const registry = new JobRegistry();
     jobs.forEach(({ step, at }, index) => {
         const spec = makeSpec(step);
-        book.apply({ type: "accepted", jobId: makeJobId(index), queue: "batch", spec, at: at ?? NOW });
+        registry.apply({ type: "accepted", jobId: makeJobId(index), queue: "batch", spec, at: at ?? NOW });
     });
     const numbers = new Map<Step, number>();
-    const waiting = [...book.listRunnable()].map((step, index) => {
+    const waiting = [...registry.listRunnable()].map((step, index) => {
         numbers.set(step, index);
         return rankStep(step, { ...QUEUE, ...jobs[index]?.queue }, NOW);
     });
--- a/src/test/dispatch/preemption_test.ts
+++ b/src/test/dispatch/preemption_test.ts
@@ -33,11 +33,11 @@
 }
 
 function makeGang(change: Partial<StepSpec>): Step {
-    const book = new JobRegistry();
+    const registry = new JobRegistry();
     const demand = { cpuMillis: 18_000, memoryMib: 0, accelerators: 0 };
     const spec = makeSpec({ isGang: true, demand, ...change });
-    book.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec, at: 0 });
-    const [step] = book.listRunnable();
+    registry.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec, at: 0 });
+    const [step] = registry.listRunnable();
     assert(step !== undefined);
     return step;
 }
--- a/src/test/dispatch/probation_test.ts
+++ b/src/test/dispatch/probation_test.ts
@@ -105,12 +105,12 @@
 }
 
 function listStarts({ workers, jobs, crashed = 0 }: Case): readonly string[] {
-    const book = new JobRegistry();
+    const registry = new JobRegistry();
     const names = jobs.map(({ isHarmless = false }) => isHarmless ? "well" : "risky");
     jobs.forEach(({ isHarmless = false, isLate = false, wasLost = false, ...step }, index) => {
         const jobId = makeJobId(index);
         const at = isLate ? NOW - 60_000 : NOW;
-        book.apply({
+        registry.apply({
             type: "accepted",
             jobId,
             queue: isHarmless ? "well" : "risky",
@@ -118,13 +118,13 @@
             at,
         });
         if (wasLost) {
-            book.findTask(`${jobId}.0.0.0`)?.task.losses
+            registry.findTask(`${jobId}.0.0.0`)?.task.losses
                 .push({ workerId: "lost", run: 1, isCrash: true, isEarly: true });
         }
     });
     const nameJob = (task: string): number => Number.parseInt(task.split(".")[0] ?? "", 16);
     const plan = planStarts({
-        waiting: [...book.listRunnable()].map(step =>
+        waiting: [...registry.listRunnable()].map(step =>
             rankStep(step, { ...QUEUE, name: names[nameJob(step.name)] ?? "" }, NOW)
         ),
         workersByPool: new Map([["pool", workers.map(makeWorker)]]),
--- a/src/test/dispatch/request-fairness_test.ts
+++ b/src/test/dispatch/request-fairness_test.ts
@@ -22,8 +22,8 @@
 class AskingNodes {
     readonly clock = new FakeClock();
     readonly sent: string[] = [];
-    private readonly desk = new AdviceDispatcher(this.clock, createFakeLog());
-    private readonly queue = new RequestQueue(this.desk);
+    private readonly dispatcher = new AdviceDispatcher(this.clock, createFakeLog());
+    private readonly queue = new RequestQueue(this.dispatcher);
 
     constructor(private readonly policies: ReadonlyMap<string, AdvicePolicy>) {
         for (let number = 1; number <= NODE_COUNT; number++) {
@@ -37,7 +37,7 @@
 
     private addNode(nodeName: string): void {
         let freeAt: Millis = 0;
-        this.desk.addCaller({
+        this.dispatcher.addCaller({
             nodeName,
             requestPermits: (step, workerIds) => {
                 this.sent.push(step);
--- a/src/test/dispatch/request-queue.ts
+++ b/src/test/dispatch/request-queue.ts
@@ -13,7 +13,7 @@
 export class RequestQueue {
     private readonly waiting = new Set<AdviceRequest>();
 
-    constructor(private readonly desk: AdviceDispatcher) {}
+    constructor(private readonly dispatcher: AdviceDispatcher) {}
 
     /** Adds a request behind those that wait. */
     enqueue(testRequest: TestRequest): void {
@@ -33,6 +33,6 @@
             },
         };
         this.waiting.add(request);
-        this.desk.replaceWaiting([...this.waiting]);
+        this.dispatcher.replaceWaiting([...this.waiting]);
     }
 }
--- a/src/test/dispatch/request-timeouts_test.ts
+++ b/src/test/dispatch/request-timeouts_test.ts
@@ -17,10 +17,10 @@
         // the node's next free time further ahead. Timeouts count from there, so one lost answer delayed its
         // task for minutes.
         const clock = new FakeClock();
-        const desk = new AdviceDispatcher(clock, createFakeLog());
-        const queue = new RequestQueue(desk);
+        const dispatcher = new AdviceDispatcher(clock, createFakeLog());
+        const queue = new RequestQueue(dispatcher);
         const timeouts: Millis[] = [];
-        desk.addCaller({
+        dispatcher.addCaller({
             nodeName: "node-1",
             requestPermits: (...[, , timeout]) => {
                 timeouts.push(timeout);
--- a/src/test/dispatch/silent-callers_test.ts
+++ b/src/test/dispatch/silent-callers_test.ts
@@ -21,10 +21,10 @@
             // so its accepted task waited forever beside empty workers.
             const clock = new FakeClock();
             const log = createFakeLog();
-            const desk = new AdviceDispatcher(clock, log);
-            const queue = new RequestQueue(desk);
+            const dispatcher = new AdviceDispatcher(clock, log);
+            const queue = new RequestQueue(dispatcher);
             const settled: (string | undefined)[] = [];
-            desk.addCaller({ nodeName: "node-1", requestPermits: ask });
+            dispatcher.addCaller({ nodeName: "node-1", requestPermits: ask });
             for (const step of ["first", "second", "third"]) {
                 queue.enqueue({
                     step,
@@ -38,7 +38,7 @@
             }
             await clock.step(5_000);
             assert.deepEqual(settled, ["failed", "failed", "failed"]);
-            assert.equal(desk.countWaiting(), 0);
+            assert.equal(dispatcher.countWaiting(), 0);
             assert.deepEqual(listCodes(log), ["CR1619", "CR1619", "CR1619"]);
         });
     }
--- a/src/test/dispatch/suspects_test.ts
+++ b/src/test/dispatch/suspects_test.ts
@@ -133,11 +133,11 @@
 }
 
 function listStarts({ workers, jobs, paused = [] }: Case): readonly string[] {
-    const book = new JobRegistry();
+    const registry = new JobRegistry();
     jobs.forEach(({ losses = 0, ...step }, index) => {
         const jobId = makeJobId(index);
-        book.apply({ type: "accepted", jobId, queue: "batch", spec: makeSpec(step), at: NOW });
-        const task = book.findTask(`${jobId}.0.0.0`)?.task;
+        registry.apply({ type: "accepted", jobId, queue: "batch", spec: makeSpec(step), at: NOW });
+        const task = registry.findTask(`${jobId}.0.0.0`)?.task;
         for (let run = 1; run <= losses; run++) {
             task?.losses.push({ workerId: `lost-${run}`, run, isCrash: true, isEarly: true });
         }
@@ -147,7 +147,7 @@
         return `${Number.parseInt(jobId, 16)}.${taskIndex}`;
     };
     const plan = planStarts({
-        waiting: [...book.listRunnable()].map(step => rankStep(step, QUEUE, NOW)),
+        waiting: [...registry.listRunnable()].map(step => rankStep(step, QUEUE, NOW)),
         workersByPool: new Map([["pool", workers.map(makeWorker)]]),
         unreportedByPool: new Map(),
         getPermits: () => new StepPermits(),
--- a/src/test/leader/permit-coordinator_test.ts
+++ b/src/test/leader/permit-coordinator_test.ts
@@ -32,10 +32,10 @@
         this.jobs.apply({ type: "accepted", jobId: makeJobId(1), queue: "batch", spec: makeSpec({}), at: 0 });
     }
 
-    makeRequest(workerIds: readonly string[], hasRoom: boolean): PermitRequest {
+    makeRequest(workerIds: readonly string[], hasCapacity: boolean): PermitRequest {
         const [step] = this.jobs.listRunnable();
         assert(step !== undefined);
-        return { urgency: rankStep(step, ASKING, 0), workerIds, hasCapacity: hasRoom };
+        return { urgency: rankStep(step, ASKING, 0), workerIds, hasCapacity };
     }
 }
 
--- a/src/test/node/serve-caller_test.ts
+++ b/src/test/node/serve-caller_test.ts
@@ -28,20 +28,20 @@
         // Guards against a caller that is held for its whole timeout when the store stops answering during a
         // submission, and has no time left to retry at another node.
         const clock = new FakeClock();
-        const way = makeRoute(clock, () => new Promise(() => undefined));
+        const route = makeRoute(clock, () => new Promise(() => undefined));
         const request = { kind: "submit", ...makeAddress(1), spec: makeSpec({}) } as const;
-        const reply = await clock.wait(serveCaller(way, request, CALLER_TIMEOUT_MS), CALLER_TIMEOUT_MS / 2);
+        const reply = await clock.wait(serveCaller(route, request, CALLER_TIMEOUT_MS), CALLER_TIMEOUT_MS / 2);
         assert.equal(reply.kind, "unknown");
     });
 
     it("gets an answer that arrives within the time limit", async () => {
         const clock = new FakeClock();
-        const way = makeRoute(clock, () =>
+        const route = makeRoute(clock, () =>
             new Promise(resolve => {
                 clock.schedule(1_000, () => resolve({ kind: "accepted" }));
             }));
         const request = { kind: "submit", ...makeAddress(1), spec: makeSpec({}) } as const;
-        const reply = await clock.wait(serveCaller(way, request, CALLER_TIMEOUT_MS), CALLER_TIMEOUT_MS / 2);
+        const reply = await clock.wait(serveCaller(route, request, CALLER_TIMEOUT_MS), CALLER_TIMEOUT_MS / 2);
         assert.equal(reply.kind, "accepted");
     });
 });
